--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -1,6 +1,6 @@
 // The nodes that a gateway knows: their ids, addresses and entries. Pure: what changed is for the caller to
-// pass on. Ids are given in the order in which names first appear and are never used for another node. Of nodes
-// that left, the last kLeftKept are remembered, so that a list that changes for ever doesn't grow.
+// pass on. Ids are given in the order in which names first appear and are never used for another node. Of
+// nodes that left, the last kLeftKept are remembered, so that a list that changes for ever doesn't grow.
 #pragma once
 
 #include <deque>
--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -19,30 +19,30 @@
 constexpr double kGuard = 0.5;  // c of the design: drain times up to (1 + c) x the smallest compete
 constexpr TimeUs kDrainSlackUs = 30 * kMs;  // drain times this close tie, or idle engines never would
 constexpr TimeUs kZoneDetourUs = 60 * kMs;  // another zone's engine must have a drain this much shorter
-constexpr size_t kHomes = 4;  // engines that gateways agree on for a table group
+constexpr size_t kHomes = 4;                // engines that gateways agree on for a table group
 constexpr double kCheapCrossing = 0.01, kFarHome = 3;  // over this fee, engines far off are less likely homes
 constexpr double kThreadsPerCore = 1.85;  // run bound: engines peak between one and two threads a core
 constexpr double kPressedShare = 0.8;     // of the run bound in threads: from here on the bound binds
 constexpr double kUnrankedShare = 0.65;   // of the fleet's bounds: from here heavy queries wait if unranked
-constexpr double kLightShare = 1.8;     // ... and from here light ones where memory is overcommitted
-constexpr int kProbes = 3;                 // engines asked before a heavy query goes out
-constexpr double kProbeFeeMost = 0.05;     // ... where that costs less than this
-constexpr double kProbeMost = 4;           // run bounds that a late probe stands for at the most
+constexpr double kLightShare = 1.8;       // ... and from here light ones where memory is overcommitted
+constexpr int kProbes = 3;                // engines asked before a heavy query goes out
+constexpr double kProbeFeeMost = 0.05;    // ... where that costs less than this
+constexpr double kProbeMost = 4;          // run bounds that a late probe stands for at the most
 constexpr TimeUs kProbeFreshUs = 500 * kMs;  // a report younger than this needs no probe
-constexpr double kDefaultCores = 8;       // where the kind's cores aren't told
-constexpr double kFirstPace = 1.3;        // until answers tell: a shared engine takes a little longer
-constexpr double kFitShare = 0.5;         // a query starts when this share of its threads is free
+constexpr double kDefaultCores = 8;          // where the kind's cores aren't told
+constexpr double kFirstPace = 1.3;           // until answers tell: a shared engine takes a little longer
+constexpr double kFitShare = 0.5;            // a query starts when this share of its threads is free
 
 constexpr TimeUs kHousekeepingUs = 20 * kMs;  // pace of the checks that no event triggers; half the CPU of 10
 constexpr TimeUs kStallUs = 150 * kMs;        // no event for this long: this gateway stood still
 constexpr TimeUs kOthersTauUs = 400 * kMs;    // smoothing of reports; about their age, damps herding
 constexpr TimeUs kReportFadeUs = 3 * kSecond;  // in this a report fades to the fleet's mean
 constexpr TimeUs kTypicalTauUs = 4 * kSecond;  // smoothing of what this gateway has out: it may be one query
-constexpr double kFewOut = 0.02;              // under this many attempts out, smoothed, they tell nothing
-constexpr TimeUs kFleetTauUs = 1 * kSecond;   // smoothing of the fleet's mean of reports
-constexpr double kLearnRate = 0.05;           // weight of a new outcome in slow averages (class work, grants)
+constexpr double kFewOut = 0.02;               // under this many attempts out, smoothed, they tell nothing
+constexpr TimeUs kFleetTauUs = 1 * kSecond;    // smoothing of the fleet's mean of reports
+constexpr double kLearnRate = 0.05;  // weight of a new outcome in slow averages (class work, grants)
 constexpr double kPaceRate = 0.12, kRareRate = 0.4;  // the same in paces; in slow factors where news is rare
-constexpr double kClipTimes = 6;              // a told cost counts up to this many class means (bad plans)
+constexpr double kClipTimes = 6;     // a told cost counts up to this many class means (bad plans)
 constexpr double kWaitMargin = 2.0;  // waits outrun estimates: who is just in time by estimate is late
 constexpr double kSpent = 1.3;       // an attempt out for this share of its useful time earns nothing more
 constexpr double kReach = 0.7;       // hopeless only if even this share of the estimated wait is too long
@@ -50,15 +50,15 @@
 constexpr double kBadPlanTimes = 3.0;  // an attempt this far past its expected time is taken for a bad plan
 constexpr double kCutTimes = 1.7;      // cut short this far past its expected time, an attempt is news
 constexpr double kBadPlanPace = 4.0;   // ... or whose progress notes foretell this many times the expected
-constexpr double kLeastProgress = 0.002;  // a note's share below this tells no more than this
+constexpr double kLeastProgress = 0.002;       // a note's share below this tells no more than this
 constexpr TimeUs kBadPlanFloorUs = 300 * kMs;  // below this a late answer is noise
 constexpr double kSharedShare = 0.35;  // more than this share of attempts overdue: the slowdown is shared
-constexpr TimeUs kLateTauUs = 2 * kSecond;  // smoothing of that share
+constexpr TimeUs kLateTauUs = 2 * kSecond;                 // smoothing of that share
 constexpr int kHeavyAfterTold = 2, kHeavyAfterUntold = 1;  // slow attempts that prove a query itself heavy
 
 constexpr double kErrRate = 0.2, kErrEject = 0.35;  // weight of an outcome in the failure share; ejects from
-constexpr size_t kErrProves = 3;          // engines that answer a request with an error: it is the request's
-constexpr TimeUs kErrDoubtUs = 40 * kMs;  // ... that long after its last error it is the engines'
+constexpr size_t kErrProves = 3;           // engines that answer a request with an error: it is the request's
+constexpr TimeUs kErrDoubtUs = 40 * kMs;   // ... that long after its last error it is the engines'
 constexpr TimeUs kSilenceUs = 1200 * kMs;  // no sign of life for this long with overdue work: it hangs
 constexpr TimeUs kEjectUs = 1500 * kMs, kEjectMostUs = 6 * kSecond;  // first rest once ejected; doubles up to
 constexpr int kTrialOks = 3;                   // answers in a row that bring an ejected engine back
@@ -70,7 +70,7 @@
 constexpr double kColdSpread = 1.5;   // ... and, of the work sent, for costs that stray from their mean
 constexpr double kColdWindow = 1.15;  // the budget's window is kept this much longer, for the same reason
 constexpr double kGrantMargin = 1.1, kEngineMargin = 1.25;  // grants over the estimate, ours and engines' own
-constexpr TimeUs kResubscribeUs = 500 * kMs;  // after a failed call to discovery
+constexpr TimeUs kResubscribeUs = 500 * kMs;                // after a failed call to discovery
 constexpr TimeUs kRetryAfterLeastUs = 200 * kMs;
 constexpr uint32_t kHousekeepingToken = 1, kSubscribeToken = 2;
 
@@ -290,9 +290,11 @@
     for (int pass = 0; pass < 2 && options.empty(); ++pass)
       for (auto& [id, e] : engines_) {
         if (pass == 0 && (id == q.avoid || erred_on(q, id))) continue;  // elsewhere first after a wrong one
-        if (!allowed_target(q, e) || !effect_safe(q, e)) continue;  // no wait changes these
-        if (may_send(q, e) && in_service(q, e)) options.emplace_back(&e, evaluate(e, q));
-        else later = true;
+        if (!allowed_target(q, e) || !effect_safe(q, e)) continue;      // no wait changes these
+        if (may_send(q, e) && in_service(q, e))
+          options.emplace_back(&e, evaluate(e, q));
+        else
+          later = true;
       }
     if (options.empty()) return hold(q, later);
     add_home_gain(q, options);
@@ -381,8 +383,10 @@
       Query& q = **chosen;
       e.queue.erase(chosen);
       q.engine = nullptr;
-      if (may_send(q, e)) send(q, e);
-      else hold(q, true);
+      if (may_send(q, e))
+        send(q, e);
+      else
+        hold(q, true);
     }
   }
 
@@ -457,8 +461,10 @@
   void conclude(Query& q, bool owed = true) {
     unqueue(q);
     if (!q.finished) {
-      if (owed && !may_refuse(q)) act_->fail(q.req.id);
-      else if (owed) act_->refuse(q.req.id, s_.retry_after_heeded ? retry_after() : 0);
+      if (owed && !may_refuse(q))
+        act_->fail(q.req.id);
+      else if (owed)
+        act_->refuse(q.req.id, s_.retry_after_heeded ? retry_after() : 0);
       if (q.out && s_.may_cancel && !q.streaming) act_->cancel(q.req.id, q.attempts - 1);
       q.finished = true;
     }
@@ -530,8 +536,10 @@
   }
 
   void retry_or_conclude(Query& q) {
-    if (at_fault(q)) q.erred.clear();
-    else if (q.attempts < s_.max_attempts && within_budget(q) && last_use(q) > now_) return place(q);
+    if (at_fault(q))
+      q.erred.clear();
+    else if (q.attempts < s_.max_attempts && within_budget(q) && last_use(q) > now_)
+      return place(q);
     settle_errors(q);
     conclude(q);
   }
@@ -924,9 +932,12 @@
     }
     if (end.outcome == Outcome::kOk) learn_answer(q, e, end);
     if (end.outcome == Outcome::kCancelled || end.outcome == Outcome::kTimeout) learn_cut(q, e, end.took_us);
-    if (end.outcome == Outcome::kError) learn_error(q, e);
-    else if (end.engine_alive) e.life_at = now_;
-    else learn_health(e, end.outcome);
+    if (end.outcome == Outcome::kError)
+      learn_error(q, e);
+    else if (end.engine_alive)
+      e.life_at = now_;
+    else
+      learn_health(e, end.outcome);
     if (end.outcome == Outcome::kOk || q.finished || end.request_over) settle_errors(q);
     q.avoid = end.outcome == Outcome::kOk ? 0 : end.engine;
     if (end.request_over || q.finished || end.outcome == Outcome::kOk) {
@@ -964,9 +975,12 @@
       least = std::min(1.0 * took / best - 1, kProbeMost) * run_bound(e) / held_threads_;
     }
     take_report(e, report, report ? least : 0);
-    if (outcome == Outcome::kOk) e.life_at = now_;
-    else if (outcome == Outcome::kTimeout && now_ != woke_at_) eject(e, "silence");
-    else learn_health(e, outcome);
+    if (outcome == Outcome::kOk)
+      e.life_at = now_;
+    else if (outcome == Outcome::kTimeout && now_ != woke_at_)
+      eject(e, "silence");
+    else
+      learn_health(e, outcome);
     serve_waiting();
   }
 
@@ -1021,9 +1035,9 @@
   std::vector<Query*> waiting_;
   std::map<int, TimeUs> best_probe_;  // shortest time of a probe, by zone
   std::deque<TimeUs> taken_at_, extra_at_;
-  double pace_ = kFirstPace;    // time over work divided by threads, all classes
+  double pace_ = kFirstPace;  // time over work divided by threads, all classes
   double held_threads_ = 1.5, held_work_ = 500'000, held_mb_ = 0;  // of a query held: work left (us), grant
-  double fleet_others_ = 0;     // queries of other gateways a core, mean of the fleet
+  double fleet_others_ = 0;                   // queries of other gateways a core, mean of the fleet
   double most_threads_ = 1, late_share_ = 0;  // of a query of any class; of the attempts out, smoothed
   double own_all_ = 0, own_typical_ = 0, own_n_ = 0, own_left_ = 0, own_mb_ = 0;  // of own attempts (see use)
   double fleet_bound_ = 0, fleet_cores_ = 0;  // run bounds and cores of the engines that are ready, together
--- a/src/sim/run.h
+++ b/src/sim/run.h
@@ -57,8 +57,8 @@
   TimeUs simulated_us = 0;
   Ends ends;
   uint64_t attempts = 0, further_attempts = 0, plans = 0;
-  // Of gateways' last lives: answers that flowed, those among them that the total bound made flow, and clients
-  // that left with bytes unread.
+  // Of gateways' last lives: answers that flowed, those among them that the total bound made flow, and
+  // clients that left with bytes unread.
   uint64_t streams = 0, bound_reached = 0, left_unread = 0;
   audit::RuleCounts counts;
 };
--- a/src/sim/streams.cpp
+++ b/src/sim/streams.cpp
@@ -140,7 +140,7 @@
 
 Awaitable<std::shared_ptr<rpc::ByteStream>> Streams::connect(std::shared_ptr<Actor> client,
                                                              std::string address, TimeUs within,
-                                                                  rpc::ConnectEnd* end) {
+                                                             rpc::ConnectEnd* end) {
   const std::string name = "stream/" + client->name() + "/" + address;
   auto c = std::make_shared<Connection>(world_.stream(name + "/" + std::to_string(++made_[name])));
   c->address = address;
@@ -167,7 +167,9 @@
   client->call_after(within, [dial] { dial->tell(false); });
   const bool stands = co_await dial->wait();
   if (end != nullptr)
-    *end = stands ? rpc::ConnectEnd::kConnected : refused ? rpc::ConnectEnd::kRefused : rpc::ConnectEnd::kTimeout;
+    *end = stands    ? rpc::ConnectEnd::kConnected
+           : refused ? rpc::ConnectEnd::kRefused
+                     : rpc::ConnectEnd::kTimeout;
   if (!stands) co_return nullptr;
   co_return std::make_shared<End>(*this, c, 0);
 }
--- a/src/sim/streams.h
+++ b/src/sim/streams.h
@@ -24,7 +24,7 @@
   rpc::Awaitable<std::shared_ptr<rpc::ByteStream>> connect(std::shared_ptr<Actor> client, std::string address,
                                                            TimeUs within, rpc::ConnectEnd* end = nullptr);
   void unlisten(const std::string& address) { listeners_.erase(address); }  // connections that stand stay
-  void reset(const std::string& address);  // its connections break at once
+  void reset(const std::string& address);                                   // its connections break at once
 
  private:
   class End;
--- a/src/state.h
+++ b/src/state.h
@@ -26,12 +26,12 @@
   int slow_seen = 0;  // attempts cancelled as bad plans
   int priority = -1;
   TimeUs sent_at = 0;
-  TimeUs foretold_us = 0;    // whole time of the running attempt by its progress notes; 0: no note
-  EngineId avoid = 0;        // where the last attempt went wrong
+  TimeUs foretold_us = 0;       // whole time of the running attempt by its progress notes; 0: no note
+  EngineId avoid = 0;           // where the last attempt went wrong
   std::vector<EngineId> erred;  // engines that answered it with an error and are not yet held to blame
   TimeUs erred_at = 0;          // the last of these errors
-  Engine* engine = nullptr;  // queued or running there
-  TimeUs probes_until = 0;   // answers to the probes sent for it are waited for until then; 0: none sent
+  Engine* engine = nullptr;     // queued or running there
+  TimeUs probes_until = 0;      // answers to the probes sent for it are waited for until then; 0: none sent
 };
 
 struct Engine {
@@ -44,12 +44,12 @@
   bool heard = false;
   TimeUs averaged_at = 0;
   TimeUs report_at = 0;
-  TimeUs probe_at = 0;                // a probe is out since then; 0: none is
-  TimeUs full_at = 0;                 // last 'full'; 0: never
-  TimeUs life_at = 0;                 // last sign of life
-  int64_t last_group = -1;            // table group of the query started there last
-  double slow = 1;                    // its time for a query against the fleet's
-  double live_slow = 1;               // the same from attempts still out
+  TimeUs probe_at = 0;      // a probe is out since then; 0: none is
+  TimeUs full_at = 0;       // last 'full'; 0: never
+  TimeUs life_at = 0;       // last sign of life
+  int64_t last_group = -1;  // table group of the query started there last
+  double slow = 1;          // its time for a query against the fleet's
+  double live_slow = 1;     // the same from attempts still out
   TimeUs slow_at = 0;
   double errors = 0;         // share of failed outcomes
   TimeUs ejected_until = 0;  // 0: in service
