--- a/src/policy.cpp
+++ b/src/policy.cpp
@@ -77,37 +77,37 @@
 // f of the design: 1 within a table group, but a load makes others of its group stand still.
 int interaction(const Query& a, const Query& b) {
   if (a.req.table_group < 0 || a.req.table_group != b.req.table_group) return 0;
-  const bool clash = (a.cls->writes_tables && (b.cls->writes_tables || b.cls->waits_for_loads)) ||
-                     (b.cls->writes_tables && a.cls->waits_for_loads);
+  const bool clash = (a.cls->writes_tables && (b.cls->writes_tables || b.cls->blocked_by_table_loads)) ||
+                     (b.cls->writes_tables && a.cls->blocked_by_table_loads);
   return clash ? -1 : 1;
 }
 
 }  // namespace
 
-class Gateway::Impl {
+class WorkloadManager::Impl {
  public:
   Impl(Settings settings, uint64_t seed) : s_(std::move(settings)), random_(seed), stats_(s_.classes.size()) {
     for (size_t c = 0; c < stats_.size(); ++c) {
       // Until answers tell better: half the aim on all threads, as an aim leaves room for about that much.
-      stats_[c].work_us = 0.5 * s_.classes[c].aim_us * s_.classes[c].threads;
+      stats_[c].work_us = 0.5 * s_.classes[c].latency_objective_us * s_.classes[c].threads;
       stats_[c].pace = kFirstPace;
       most_threads_ = std::max(most_threads_, s_.classes[c].threads);
     }
   }
 
-  Impl& at(TimeUs now, Actions& actions) {
+  Impl& at(TimeUs now, WorkloadManagerDelegate& actions) {
     if (now_ > 0 && now - now_ > kStallUs) woke_at_ = now;  // housekeeping comes far more often
     now_ = now;
     act_ = &actions;
     return *this;
   }
 
-  ClassStats& stats(const Query& q) { return stats_[q.req.cls]; }
-  const ClassStats& stats(const Query& q) const { return stats_[q.req.cls]; }
+  ClassStats& stats(const Query& q) { return stats_[q.req.class_index]; }
+  const ClassStats& stats(const Query& q) const { return stats_[q.req.class_index]; }
 
   double work(const Query& q) const {
     const ClassStats& c = stats(q);
-    return std::max(1.0, q.req.cost_us ? *q.req.cost_us * c.cost_ratio : c.work_us);
+    return std::max(1.0, q.req.estimated_cost_us ? *q.req.estimated_cost_us * c.cost_ratio : c.work_us);
   }
 
   double slow(const Engine& e) const { return std::max(e.slow, e.live_slow); }
@@ -118,27 +118,29 @@
   }
 
   TimeUs aim_at(const Query& q) {
-    const double aim = q.cls->aim_us + q.cls->aim_stretch * work(q) / q.cls->threads;
-    return std::min(q.arrived + static_cast<TimeUs>(aim), q.req.due_us);
+    const double aim =
+        q.cls->latency_objective_us + q.cls->latency_objective_stretch * work(q) / q.cls->threads;
+    return std::min(q.arrived + static_cast<TimeUs>(aim), q.req.deadline);
   }
 
   double worth_at(const Query& q, double finish) {
-    if (finish <= aim_at(q)) return q.cls->worth;
-    return finish <= q.req.due_us ? q.cls->worth * q.cls->late_worth : 0;
+    if (finish <= aim_at(q)) return q.cls->priority_weight;
+    return finish <= q.req.deadline ? q.cls->priority_weight * q.cls->late_weight_fraction : 0;
   }
 
   // Past this time an answer is worth nothing.
-  TimeUs last_use(const Query& q) { return q.cls->late_worth > 0 ? q.req.due_us : aim_at(q); }
+  TimeUs last_use(const Query& q) { return q.cls->late_weight_fraction > 0 ? q.req.deadline : aim_at(q); }
 
   bool cold(const Engine& e) const {
-    return e.entry.started_us > 0 && now_ < e.entry.started_us + s_.warm_after_us;
+    return e.entry.started_at > 0 && now_ < e.entry.started_at + s_.slow_start_duration_us;
   }
 
   // Share of its capacity that an engine is sure to have. The curve is not told: half of a straight rise.
   double warmth(const Engine& e) const {
     if (!cold(e)) return 1;
-    const double age = std::max<double>(0, now_ - e.entry.started_us);
-    return s_.cold_from + (1 - s_.cold_from) * 0.5 * age / s_.warm_after_us;
+    const double age = std::max<double>(0, now_ - e.entry.started_at);
+    return s_.slow_start_min_capacity_fraction +
+           (1 - s_.slow_start_min_capacity_fraction) * 0.5 * age / s_.slow_start_duration_us;
   }
 
   double remaining_work(const Query& q, const Engine& e) {
@@ -155,12 +157,12 @@
       const TimeUs gap = now_ - e.averaged_at;
       e.averaged_at = now_;
       e.own_avg += std::min(1.0, 1.0 * gap / kOthersTauUs) * (e.running.size() - e.own_avg);
-      const double windows = 1.0 * std::min(gap, kStallUs) / std::max<TimeUs>(s_.fall_us, 1);
+      const double windows = 1.0 * std::min(gap, kStallUs) / std::max<TimeUs>(s_.collapse_window_us, 1);
       if (cold(e)) e.cold_credit += windows * cold_budget(e);
       for (const Query* q : e.running) left += remaining_work(*q, e), mb += granted_mb(*q, e);
       n += e.running.size();
       threads += e.own_threads();
-      if (e.entry.state != EngineState::kReady) continue;
+      if (e.entry.state != EndpointState::kReady) continue;
       own_all_ += e.own_threads();
       fleet_bound_ += run_bound(e);
       fleet_cores_ += e.cores;
@@ -184,7 +186,8 @@
   }
 
   double fleet_mean() const {
-    const double typical = own_typical_ * (s_.instances - 1) / std::max(fleet_cores_, 1.0) / held_threads_;
+    const double typical =
+        own_typical_ * (s_.gateway_count - 1) / std::max(fleet_cores_, 1.0) / held_threads_;
     if (fleet_at_ == 0) return typical;
     return typical + (fleet_others_ - typical) * std::exp(-1.0 * (now_ - fleet_at_) / kReportFadeUs);
   }
@@ -194,7 +197,7 @@
   // Threads that this gateway may keep on the engine: its equal share, or what the others leave if more.
   double allowance(const Engine& e) const {
     const double bound = run_bound(e);
-    return std::max({bound / s_.instances, most_threads_, bound - others(e) * held_threads_});
+    return std::max({bound / s_.gateway_count, most_threads_, bound - others(e) * held_threads_});
   }
 
   // The bound binds only under pressure: a busy report or a recent 'full'.
@@ -211,10 +214,10 @@
   bool fits(const Query& q, double free) const {
     if (free < kFitShare * q.cls->threads) return false;
     const double held = own_all_ + fleet_mean() * fleet_cores_ * held_threads_;
-    if (light(q) && s_.memory_short != MemoryShort::kOvercommit) return true;
-    const double share = light(q) ? kLightShare : s_.priorities_heeded ? 1 : kUnrankedShare;
+    if (light(q) && s_.memory_pressure_policy != MemoryPressurePolicy::kOvercommit) return true;
+    const double share = light(q) ? kLightShare : s_.engines_honor_priorities ? 1 : kUnrankedShare;
     if (held <= share * fleet_bound_) return true;
-    return own_all_ + kFitShare * q.cls->threads <= std::max(fleet_bound_ / s_.instances, most_threads_);
+    return own_all_ + kFitShare * q.cls->threads <= std::max(fleet_bound_ / s_.gateway_count, most_threads_);
   }
 
   // Time for all that the engine is known to hold and to be about to get.
@@ -313,7 +316,7 @@
     int ties = 0;
     for (const auto& [e, g] : options) {
       if (g.drain_us > guard) continue;
-      const bool far = e->entry.zone != s_.zone && s_.cross_zone_fee > 0;
+      const bool far = e->entry.zone != s_.zone && s_.cross_zone_cost > 0;
       const double cost = g.drain_us + (far ? kZoneDetourUs : 0);
       const bool level = best && g.interaction == best->interaction, tie = level && cost == best_cost;
       const bool better = !best || g.interaction > best->interaction || (level && cost < best_cost);
@@ -332,7 +335,7 @@
     std::vector<std::pair<double, Gain*>> order;
     for (auto& [e, g] : options) {
       const double u = unit(mix(e->entry.engine * 0x9e3779b97f4a7c15ull ^ q.req.table_group));
-      const double far = e->entry.zone != s_.zone && s_.cross_zone_fee > kCheapCrossing ? kFarHome : 1;
+      const double far = e->entry.zone != s_.zone && s_.cross_zone_cost > kCheapCrossing ? kFarHome : 1;
       order.emplace_back(-std::log(u + 1e-12) / e->cores * far, &g);
     }
     const size_t homes = std::min<size_t>(order.size(), kHomes);
@@ -343,7 +346,8 @@
   // Where a gateway hears from an engine every 10 s or never, it asks a few before each heavy query goes out:
   // those of highest interaction gain, then any. The fee is paid by few queries, and the news serves all.
   bool ask_first(Query& q, const std::vector<std::pair<Engine*, Gain>>& options) {
-    const bool pays = s_.may_probe && s_.reports_in_probes && kProbes * s_.probe_fee <= kProbeFeeMost;
+    const bool pays = s_.health_checks_allowed && s_.load_reports_in_health_checks &&
+                      kProbes * s_.health_check_cost <= kProbeFeeMost;
     if (!pays || light(q) || q.probes_until > 0) return false;
     std::vector<std::pair<double, Engine*>> order;
     for (const auto& [e, g] : options)
@@ -353,7 +357,7 @@
     std::partial_sort(order.begin(), order.begin() + asked, order.end());
     for (size_t k = 0; k < asked; ++k) {
       order[k].second->probe_at = now_;
-      act_->probe(order[k].second->entry.engine);
+      act_->check_health(order[k].second->entry.engine);
     }
     if (asked > 0) q.probes_until = now_ + 3 * s_.tick_us;
     return asked > 0;
@@ -393,7 +397,7 @@
   // An engine with room and an empty queue takes over a query that waits for a longer drain elsewhere: plans
   // go stale. What is late stays where it is.
   void draw_in(Engine& e, const std::vector<Engine*>& sources) {
-    while (e.queue.empty() && e.entry.state == EngineState::kReady) {
+    while (e.queue.empty() && e.entry.state == EndpointState::kReady) {
       const double room = free_threads(e), own_drain = drain_us(e);
       Query* best = nullptr;
       int together = 0;
@@ -416,11 +420,11 @@
 
   void send(Query& q, Engine& e) {
     note_send(q, e, q.attempts > 0);
-    if (s_.priorities_heeded || s_.grants_heeded) {
-      q.priority = s_.priorities_heeded ? priority(q) : 1;
-      act_->set_terms(q.req.id, q.priority, s_.grants_heeded ? granted_mb(q, e) : 0);
+    if (s_.engines_honor_priorities || s_.engines_honor_grants) {
+      q.priority = s_.engines_honor_priorities ? priority(q) : 1;
+      act_->set_execution_hints(q.req.id, q.priority, s_.engines_honor_grants ? granted_mb(q, e) : 0);
     }
-    act_->send(q.req.id, e.entry.engine, s_.may_cancel ? 0 : patience(q, e));
+    act_->send_attempt(q.req.id, e.entry.engine, s_.cancellation_allowed ? 0 : patience(q, e));
     q.out = true;
     q.cancelling = false;
     q.engine = &e;
@@ -433,7 +437,9 @@
   }
 
   // Light queries first; what is late yields, or, its cost not told, may well be late.
-  int priority(const Query& q) { return now_ > aim_at(q) ? 0 : light(q) ? 3 : q.req.cost_us ? 1 : 0; }
+  int priority(const Query& q) {
+    return now_ > aim_at(q) ? 0 : light(q) ? 3 : q.req.estimated_cost_us ? 1 : 0;
+  }
 
   bool light(const Query& q) const {
     double all = 0;
@@ -443,15 +449,17 @@
 
   double granted_mb(const Query& q, const Engine& e) const {
     const ClassStats& c = stats(q);
-    const double margin = s_.grants_heeded ? kGrantMargin : kEngineMargin;
-    const double grant = margin * (q.req.need_mb > 0 ? q.req.need_mb * c.memory_ratio : c.memory_mb);
-    const bool told = e.entry.kind < static_cast<int>(s_.kind_memory_mb.size());
-    return told ? std::min(grant, s_.most_grant * s_.kind_memory_mb[e.entry.kind]) : grant;
+    const double margin = s_.engines_honor_grants ? kGrantMargin : kEngineMargin;
+    const double grant =
+        margin * (q.req.estimated_memory_mb > 0 ? q.req.estimated_memory_mb * c.memory_ratio : c.memory_mb);
+    const bool told = e.entry.engine_type < static_cast<int>(s_.engine_type_memory_mb.size());
+    return told ? std::min(grant, s_.max_grant_fraction * s_.engine_type_memory_mb[e.entry.engine_type])
+                : grant;
   }
 
   // Where attempts can't be cancelled, a time-out has to end a bad plan.
   TimeUs patience(const Query& q, const Engine& e) {
-    if (q.attempts + 1 >= s_.max_attempts || q.cls->repeat != Repeat::kRetryable) return 0;
+    if (q.attempts + 1 >= s_.max_attempts || q.cls->idempotency != Idempotency::kIdempotent) return 0;
     return static_cast<TimeUs>(2 * kBadPlanTimes * run_us(q, e)) + kBadPlanFloorUs;
   }
 
@@ -464,8 +472,8 @@
       if (owed && !may_refuse(q))
         act_->fail(q.req.id);
       else if (owed)
-        act_->refuse(q.req.id, s_.retry_after_heeded ? retry_after() : 0);
-      if (q.out && s_.may_cancel && !q.streaming) act_->cancel(q.req.id, q.attempts - 1);
+        act_->reject(q.req.id, s_.clients_honor_retry_after ? retry_after() : 0);
+      if (q.out && s_.cancellation_allowed && !q.streaming) act_->cancel_attempt(q.req.id, q.attempts - 1);
       q.finished = true;
     }
     if (!q.out) forget(q);
@@ -474,7 +482,7 @@
   TimeUs retry_after() {
     double least = s_.max_retry_after_us;
     for (auto& [id, e] : engines_)
-      if (e.entry.state == EngineState::kReady) least = std::min(least, drain_us(e));
+      if (e.entry.state == EndpointState::kReady) least = std::min(least, drain_us(e));
     return std::min(std::max(static_cast<TimeUs>(least), kRetryAfterLeastUs), s_.max_retry_after_us);
   }
 
@@ -487,29 +495,30 @@
   }
 
   void forget(Query& q) {
-    if (const auto it = turns_.find(q.req.key); it != turns_.end() && q.cls->in_order) {
+    if (const auto it = turns_.find(q.req.key); it != turns_.end() && q.cls->ordered_by_key) {
       std::erase(it->second.line, q.req.id);
       if (it->second.line.empty() && it->second.rest_until <= now_) turns_.erase(it);
     }
     queries_.erase(q.req.id);
   }
 
-  void learn_answer(Query& q, Engine& e, const AttemptEnd& end) {
+  void learn_answer(Query& q, Engine& e, const AttemptCompletion& end) {
     ClassStats& c = stats(q);
-    const double took = std::max<double>(1, end.took_us);
+    const double took = std::max<double>(1, end.duration_us);
     // Work not told: the estimate stands in, and paces then hold its error too; else work by the pace known.
-    const bool known = end.work_us || q.req.cost_us;
+    const bool known = end.work_us || q.req.estimated_cost_us;
     const double told = end.work_us ? *end.work_us : known ? work(q) : took * q.cls->threads / c.pace;
     if (told <= 0) return;
     const double rate = std::max(kLearnRate, 1 / (c.answers + 2));
-    if (q.req.cost_us && *q.req.cost_us > 0 && end.work_us)
-      c.cost_ratio += rate * (std::min(told / *q.req.cost_us, kClipTimes) - c.cost_ratio);
+    if (q.req.estimated_cost_us && *q.req.estimated_cost_us > 0 && end.work_us)
+      c.cost_ratio += rate * (std::min(told / *q.req.estimated_cost_us, kClipTimes) - c.cost_ratio);
     const double off = std::min(told, kClipTimes * c.work_us) - c.work_us;
     c.work_variance += rate * ((1 - rate) * off * off - c.work_variance);
     c.work_us += rate * off;
-    if (end.used_mb && *end.used_mb > 0) {
-      c.memory_mb += (c.answers == 0 ? 1 : rate) * (*end.used_mb - c.memory_mb);
-      if (q.req.need_mb > 0) c.memory_ratio += rate * (*end.used_mb / q.req.need_mb - c.memory_ratio);
+    if (end.memory_used_mb && *end.memory_used_mb > 0) {
+      c.memory_mb += (c.answers == 0 ? 1 : rate) * (*end.memory_used_mb - c.memory_mb);
+      if (q.req.estimated_memory_mb > 0)
+        c.memory_ratio += rate * (*end.memory_used_mb / q.req.estimated_memory_mb - c.memory_ratio);
     }
     c.answers += 1;
     if (!known || now_ == woke_at_) return;  // without either, work and pace can't be told apart
@@ -552,16 +561,16 @@
   }
 
   bool worth_another(const Query& q, const Engine& e) {
-    const int heavy = q.req.cost_us ? kHeavyAfterTold : kHeavyAfterUntold;
+    const int heavy = q.req.estimated_cost_us ? kHeavyAfterTold : kHeavyAfterUntold;
     const double fresh = run_us(q, e);
-    return s_.may_cancel && !q.cancelling && !q.streaming && q.slow_seen < heavy &&
-           q.attempts < s_.max_attempts && q.cls->repeat == Repeat::kRetryable && within_budget(q) &&
-           now_ + fresh < last_use(q);
+    return s_.cancellation_allowed && !q.cancelling && !q.streaming && q.slow_seen < heavy &&
+           q.attempts < s_.max_attempts && q.cls->idempotency == Idempotency::kIdempotent &&
+           within_budget(q) && now_ + fresh < last_use(q);
   }
 
   void cancel_attempt(Query& q) {
     q.cancelling = true;
-    act_->cancel(q.req.id, q.attempts - 1);
+    act_->cancel_attempt(q.req.id, q.attempts - 1);
   }
 
   // Takes the query? An ejected engine gets, after its rest, one short query at a time as a trial.
@@ -573,7 +582,7 @@
   void eject(Engine& e, const char* why, bool unreachable = false) {
     size_t ready = 0, out = 0;
     for (const auto& [id, other] : engines_) {
-      if (other.entry.state != EngineState::kReady) continue;
+      if (other.entry.state != EndpointState::kReady) continue;
       ++ready;
       if (other.ejected_until != 0) ++out;
     }
@@ -597,7 +606,7 @@
     const bool ok = outcome == Outcome::kOk;
     const bool unreachable = outcome == Outcome::kConnectFailed;
     const bool bad = unreachable || outcome == Outcome::kError || outcome == Outcome::kReset;
-    if (outcome == Outcome::kFull) e.full_at = now_;
+    if (outcome == Outcome::kOverloaded) e.full_at = now_;
     if (!ok && !bad) return;
     e.life_at = now_;
     const double rate = unreachable || outcome == Outcome::kReset ? 2 * kErrRate : kErrRate;
@@ -687,15 +696,17 @@
   // bound: they say nothing past it, and little where memory pages. Memory in use goes on growing.
   std::optional<double> held_by(const LoadReport& r, const Engine& e) const {
     const auto usable = [](const std::optional<double>& v) { return v && std::isfinite(*v) && *v >= 0; };
-    if (usable(r.held)) return *r.held;
-    const bool told = e.entry.kind < static_cast<int>(s_.kind_memory_mb.size()) && held_mb_ > 0;
-    const double filled = told ? s_.kind_memory_mb[e.entry.kind] / held_mb_ : 0;  // queries that fill it
+    if (usable(r.in_flight)) return *r.in_flight;
+    const bool told = e.entry.engine_type < static_cast<int>(s_.engine_type_memory_mb.size()) && held_mb_ > 0;
+    const double filled =
+        told ? s_.engine_type_memory_mb[e.entry.engine_type] / held_mb_ : 0;  // queries that fill it
     std::optional<double> held;
-    if (usable(r.cpu_share)) held = *r.cpu_share * e.cores * kThreadsPerCore / held_threads_;
-    if (usable(r.memory_share) && told) held = std::max(held.value_or(0), *r.memory_share * filled);
-    if (!usable(r.waiting)) return held;
-    if (!held) held = *r.waiting > 0 ? filled : std::min(filled, e.own_avg + others(e));
-    return *held + *r.waiting;
+    if (usable(r.cpu_utilization)) held = *r.cpu_utilization * e.cores * kThreadsPerCore / held_threads_;
+    if (usable(r.memory_utilization) && told)
+      held = std::max(held.value_or(0), *r.memory_utilization * filled);
+    if (!usable(r.waiting_for_memory)) return held;
+    if (!held) held = *r.waiting_for_memory > 0 ? filled : std::min(filled, e.own_avg + others(e));
+    return *held + *r.waiting_for_memory;
   }
 
   void take_report(Engine& e, const std::optional<LoadReport>& report, double least = 0) {
@@ -719,18 +730,18 @@
     const auto within = [](const std::vector<int>& only, int value) {
       return only.empty() || std::find(only.begin(), only.end(), value) != only.end();
     };
-    return e.entry.state == EngineState::kReady && within(q.cls->only_zones, e.entry.zone) &&
-           within(q.cls->only_kinds, e.entry.kind);
+    return e.entry.state == EndpointState::kReady && within(q.cls->allowed_zones, e.entry.zone) &&
+           within(q.cls->allowed_engine_types, e.entry.engine_type);
   }
 
   // The one gate that every send passes.
   bool may_send(const Query& q, Engine& e) {
-    return !q.finished && !q.out && now_ < q.req.due_us && q.attempts < s_.max_attempts &&  // rules 1 and 2
-           allowed_target(q, e) &&                                                          // rules 3 and 6
-           effect_safe(q, e) &&                                                             // rule 2
-           cold_room(q, e) &&                                                               // rule 4
-           has_turn(q) &&                                                                   // rule 5
-           within_budget(q);                                                                // rule 7
+    return !q.finished && !q.out && now_ < q.req.deadline && q.attempts < s_.max_attempts &&  // rules 1 and 2
+           allowed_target(q, e) &&                                                            // rules 3 and 6
+           effect_safe(q, e) &&                                                               // rule 2
+           cold_room(q, e) &&                                                                 // rule 4
+           has_turn(q) &&                                                                     // rule 5
+           within_budget(q);                                                                  // rule 7
   }
 
   void note_send(const Query& q, Engine& e, bool further) {
@@ -760,31 +771,31 @@
 
   // Rule 2: what may have run is sent again only where repeats are dropped, and only while they are.
   bool effect_safe(const Query& q, const Engine& e) const {
-    if (!q.may_have_run || q.cls->repeat == Repeat::kRetryable) return true;
-    if (q.cls->repeat == Repeat::kFragile) return false;
-    return now_ + s_.send_lag_us <= q.ran_since + q.cls->window_us &&
-           (q.cls->key_scope == KeyScope::kAll ||
-            (q.cls->key_scope == KeyScope::kZone && q.ran_on.zone == e.entry.zone) ||
-            (q.cls->key_scope == KeyScope::kCell && q.ran_on.cell == e.entry.cell));
+    if (!q.may_have_run || q.cls->idempotency == Idempotency::kIdempotent) return true;
+    if (q.cls->idempotency == Idempotency::kNotIdempotent) return false;
+    return now_ + s_.max_send_delay_us <= q.ran_since + q.cls->dedup_window_us &&
+           (q.cls->dedup_scope == DedupScope::kAll ||
+            (q.cls->dedup_scope == DedupScope::kZone && q.ran_on.zone == e.entry.zone) ||
+            (q.cls->dedup_scope == DedupScope::kCell && q.ran_on.cell == e.entry.cell));
   }
 
   bool may_refuse(const Query& q) const {
-    if (q.cls->repeat == Repeat::kRetryable || !(q.may_have_run || q.out)) return true;
-    return q.cls->repeat == Repeat::kDedup && q.cls->key_scope == KeyScope::kAll;
+    if (q.cls->idempotency == Idempotency::kIdempotent || !(q.may_have_run || q.out)) return true;
+    return q.cls->idempotency == Idempotency::kIdempotentWithKey && q.cls->dedup_scope == DedupScope::kAll;
   }
 
   // Rule 4: this gateway's equal part of what a cold engine bears within the window. Queries weigh their
   // class's usual work; what they really cost strays from it, all gateways' independently, so that each need
   // leave only its root of the room for chance.
   bool cold_room(const Query& q, Engine& e) {
-    if (!cold(e) || s_.fall_us <= 0) return true;
-    const double window = s_.fall_us;
+    if (!cold(e) || s_.collapse_window_us <= 0) return true;
+    const double window = s_.collapse_window_us;
     while (!e.cold_sent.empty() && (now_ - e.cold_sent.front().at) > kColdWindow * window)
       e.cold_sent.pop_front();
     double sent = stats(q).work_us, variance = cold_variance(q, e);
     if (cold_budget(e) < heaviest()) return e.cold_credit >= cold_price(q, e);
     for (const auto& before : e.cold_sent) sent += before.work_us, variance += before.variance;
-    return sent + kColdSpread * std::sqrt(variance / std::max(1, s_.instances)) <= cold_budget(e);
+    return sent + kColdSpread * std::sqrt(variance / std::max(1, s_.gateway_count)) <= cold_budget(e);
   }
 
   double heaviest() const {
@@ -801,7 +812,8 @@
   }
 
   double cold_budget(const Engine& e) const {
-    return s_.fall_multiple * warmth(e) * e.cores * kColdRate * s_.fall_us / std::max(1, s_.instances);
+    return s_.collapse_load_multiple * warmth(e) * e.cores * kColdRate * s_.collapse_window_us /
+           std::max(1, s_.gateway_count);
   }
 
   // Where an equal part is under one query: in the mean all gateways together send what leaves room for
@@ -809,14 +821,14 @@
   double cold_price(const Query& q, const Engine& e) {
     const double w = stats(q).work_us, spread = w + stats(q).work_variance / std::max(w, 1.0);
     const double half = kColdSigmas * std::sqrt(spread) / 2;
-    const double all = cold_budget(e) * std::max(1, s_.instances);
+    const double all = cold_budget(e) * std::max(1, s_.gateway_count);
     const double mean = std::pow(std::sqrt(half * half + all) - half, 2);
     return 2 * e.cold_draw * w * all / mean;
   }
 
   // Rule 5: the front of its key's line, and the key has rested.
   bool has_turn(const Query& q) const {
-    if (!q.cls->in_order || q.req.key == 0) return true;
+    if (!q.cls->ordered_by_key || q.req.key == 0) return true;
     const auto it = turns_.find(q.req.key);
     return it != turns_.end() && !it->second.line.empty() && it->second.line.front() == q.req.id &&
            (q.attempts > 0 || now_ >= it->second.rest_until);
@@ -825,33 +837,33 @@
   // Rule 7: attempts beyond the first within the window. An attempt counts as it leaves, which may be up to
   // the lag after its decision: any decided within window and lag may stand together in one window.
   bool within_budget(const Query& q) {
-    if (q.attempts == 0 || !s_.attempts_rationed) return true;
-    while (!extra_at_.empty() && now_ - extra_at_.front() > s_.budget_window_us + s_.send_lag_us)
+    if (q.attempts == 0 || !s_.retry_budget_enabled) return true;
+    while (!extra_at_.empty() && now_ - extra_at_.front() > s_.retry_budget_window_us + s_.max_send_delay_us)
       extra_at_.pop_front();
-    while (!taken_at_.empty() && now_ - taken_at_.front() >= s_.budget_window_us - s_.send_lag_us)
+    while (!taken_at_.empty() && now_ - taken_at_.front() >= s_.retry_budget_window_us - s_.max_send_delay_us)
       taken_at_.pop_front();
-    return (extra_at_.size() + 1) <= s_.budget_free + s_.budget_per_request * taken_at_.size();
+    return (extra_at_.size() + 1) <= s_.retry_budget_base + s_.retry_budget_per_request * taken_at_.size();
   }
 
   void on_start() {
     started_at_ = now_;
-    if (s_.subscribe_discovery) act_->subscribe(true);
+    if (s_.watch_endpoints) act_->watch_endpoints(true);
     act_->set_timer(kHousekeepingUs, kHousekeepingToken);
   }
 
-  void on_list(ListForm form, const std::vector<EngineEntry>& entries) {
-    if (form == ListForm::kFailed) {
-      if (s_.subscribe_discovery) act_->set_timer(kResubscribeUs, kSubscribeToken);
+  void on_list(EndpointUpdateKind form, const std::vector<Endpoint>& entries) {
+    if (form == EndpointUpdateKind::kFailed) {
+      if (s_.watch_endpoints) act_->set_timer(kResubscribeUs, kSubscribeToken);
       return;
     }
     engines_known_ = true;
     std::map<EngineId, bool> named;
-    for (const EngineEntry& entry : entries) {
+    for (const Endpoint& entry : entries) {
       named[entry.engine] = true;
       const auto it = engines_.find(entry.engine);
-      if (it == engines_.end() && entry.state == EngineState::kGone) continue;
+      if (it == engines_.end() && entry.state == EndpointState::kRemoved) continue;
       Engine& e = it == engines_.end() ? engines_[entry.engine] : it->second;
-      const bool fresh = it == engines_.end() || entry.started_us > e.entry.started_us;
+      const bool fresh = it == engines_.end() || entry.started_at > e.entry.started_at;
       if (fresh) {  // nothing learned of its former life holds
         Engine anew;
         anew.queue.swap(e.queue);
@@ -859,38 +871,40 @@
         e = std::move(anew);
       }
       e.entry = entry;
-      const bool told = entry.kind < static_cast<int>(s_.kind_cores.size()) && s_.kind_cores[entry.kind] > 0;
-      e.cores = told ? s_.kind_cores[entry.kind] : kDefaultCores;
+      const bool told = entry.engine_type < static_cast<int>(s_.engine_type_cores.size()) &&
+                        s_.engine_type_cores[entry.engine_type] > 0;
+      e.cores = told ? s_.engine_type_cores[entry.engine_type] : kDefaultCores;
       if (!fresh) continue;
       e.eject_for = kEjectUs;
       e.life_at = e.averaged_at = now_;
       e.cold_draw = random_.draw();
       // A gateway that has just started may have spent its budget in its former life.
-      if (now_ - started_at_ <= s_.fall_us && cold(e)) e.cold_sent.push_back({now_, 0, cold_budget(e), 0});
+      if (now_ - started_at_ <= s_.collapse_window_us && cold(e))
+        e.cold_sent.push_back({now_, 0, cold_budget(e), 0});
     }
     for (auto& [id, e] : engines_)
-      if (form != ListForm::kDelta && !named.contains(id)) e.entry.state = EngineState::kGone;
+      if (form != EndpointUpdateKind::kDelta && !named.contains(id)) e.entry.state = EndpointState::kRemoved;
     refresh_fleet();
     for (auto& [id, e] : engines_)
-      if (e.entry.state != EngineState::kReady) requeue(e);
+      if (e.entry.state != EndpointState::kReady) requeue(e);
     std::erase_if(engines_, [](const auto& item) {
-      return item.second.entry.state == EngineState::kGone && item.second.running.empty();
+      return item.second.entry.state == EndpointState::kRemoved && item.second.running.empty();
     });
     serve_waiting();
   }
 
   void on_request(const QueryRequest& request) {
-    if (request.cls < 0 || request.cls >= static_cast<int>(s_.classes.size())) {
-      act_->refuse(request.id, 0);
+    if (request.class_index < 0 || request.class_index >= static_cast<int>(s_.classes.size())) {
+      act_->reject(request.id, 0);
       return;
     }
     if (queries_.contains(request.id)) return;
     Query& q = queries_[request.id];
     q.req = request;
-    q.cls = &s_.classes[request.cls];
+    q.cls = &s_.classes[request.class_index];
     q.arrived = now_;
-    if (s_.attempts_rationed) taken_at_.push_back(now_);
-    if (q.cls->in_order && request.key != 0) turns_[request.key].line.push_back(request.id);
+    if (s_.retry_budget_enabled) taken_at_.push_back(now_);
+    if (q.cls->ordered_by_key && request.key != 0) turns_[request.key].line.push_back(request.id);
     place(q);
   }
 
@@ -905,9 +919,9 @@
     if (Query* q = attempted(id, attempt)) q->streaming = true;
   }
 
-  void on_attempt_end(const AttemptEnd& end) {
+  void on_attempt_end(const AttemptCompletion& end) {
     const auto at = engines_.find(end.engine);
-    if (at != engines_.end()) take_report(at->second, end.report);
+    if (at != engines_.end()) take_report(at->second, end.load_report);
     Query* const found = attempted(end.id, end.attempt);
     if (!found) return;
     Query& q = *found;
@@ -917,8 +931,8 @@
     q.out = false;
     q.engine = nullptr;
     const bool cancelled = std::exchange(q.cancelling, false);
-    const bool never_ran = end.outcome == Outcome::kFull || end.outcome == Outcome::kConnectFailed ||
-                           end.outcome == Outcome::kMoot;
+    const bool never_ran = end.outcome == Outcome::kOverloaded || end.outcome == Outcome::kConnectFailed ||
+                           end.outcome == Outcome::kSuperseded;
     if (!never_ran && !q.may_have_run) {
       q.may_have_run = true;
       q.ran_on = e.entry;
@@ -926,24 +940,25 @@
     }
     const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
                                end.outcome == Outcome::kCancelled;
-    if (may_still_run && q.cls->in_order && q.req.key != 0) {
+    if (may_still_run && q.cls->ordered_by_key && q.req.key != 0) {
       TimeUs& rest = turns_[q.req.key].rest_until;
-      rest = std::max(rest, now_ + s_.turn_gap_us);
+      rest = std::max(rest, now_ + s_.ordering_gap_us);
     }
     if (end.outcome == Outcome::kOk) learn_answer(q, e, end);
-    if (end.outcome == Outcome::kCancelled || end.outcome == Outcome::kTimeout) learn_cut(q, e, end.took_us);
+    if (end.outcome == Outcome::kCancelled || end.outcome == Outcome::kTimeout)
+      learn_cut(q, e, end.duration_us);
     if (end.outcome == Outcome::kError)
       learn_error(q, e);
-    else if (end.engine_alive)
+    else if (end.engine_responsive)
       e.life_at = now_;
     else
       learn_health(e, end.outcome);
-    if (end.outcome == Outcome::kOk || q.finished || end.request_over) settle_errors(q);
+    if (end.outcome == Outcome::kOk || q.finished || end.request_finished) settle_errors(q);
     q.avoid = end.outcome == Outcome::kOk ? 0 : end.engine;
-    if (end.request_over || q.finished || end.outcome == Outcome::kOk) {
+    if (end.request_finished || q.finished || end.outcome == Outcome::kOk) {
       q.finished = true;
       forget(q);
-    } else if (q.streaming || end.outcome == Outcome::kMoot ||
+    } else if (q.streaming || end.outcome == Outcome::kSuperseded ||
                (end.outcome == Outcome::kCancelled && !cancelled)) {
       conclude(q);
     } else {
@@ -953,11 +968,11 @@
     serve_waiting();
   }
 
-  void on_progress(const ProgressNote& note) {
+  void on_progress(const ProgressUpdate& note) {
     Query* const q = attempted(note.id, note.attempt);
     if (!q) return;
     q->engine->life_at = now_;
-    if (note.kind != NoteKind::kProgress) return;
+    if (note.kind != ProgressKind::kProgress) return;
     q->foretold_us = static_cast<TimeUs>((now_ - q->sent_at) / std::clamp(note.value, kLeastProgress, 1.0));
   }
 
@@ -989,7 +1004,7 @@
   }
 
   void on_timer(uint32_t token) {
-    if (token == kSubscribeToken) act_->subscribe(true);
+    if (token == kSubscribeToken) act_->watch_endpoints(true);
     if (token != kHousekeepingToken) return;
     act_->set_timer(kHousekeepingUs, kHousekeepingToken);
     refresh_fleet();
@@ -1011,11 +1026,11 @@
     std::vector<Query*> hopeless;
     for (auto& [id, q] : queries_) {
       if (q.finished || q.streaming) continue;
-      const bool due = now_ + 2 * s_.tick_us + kHousekeepingUs >= q.req.due_us;
+      const bool due = now_ + 2 * s_.tick_us + kHousekeepingUs >= q.req.deadline;
       const double run = q.engine ? run_us(q, *q.engine) : 0;
       // What is out past all worth holds room that others need; without an estimate its aim isn't known.
-      const bool spent = q.out && q.req.cost_us && s_.may_cancel && may_refuse(q) && now_ != woke_at_ &&
-                         now_ > q.arrived + kSpent * (last_use(q) - q.arrived);
+      const bool spent = q.out && q.req.estimated_cost_us && s_.cancellation_allowed && may_refuse(q) &&
+                         now_ != woke_at_ && now_ > q.arrived + kSpent * (last_use(q) - q.arrived);
       if (all || due || spent || (!q.out && now_ + kReach * run >= last_use(q))) hopeless.push_back(&q);
     }
     for (Query* q : hopeless) conclude(*q);
@@ -1043,32 +1058,50 @@
   double fleet_bound_ = 0, fleet_cores_ = 0;  // run bounds and cores of the engines that are ready, together
   TimeUs now_ = 0, started_at_ = 0, fleet_at_ = 0, woke_at_ = 0;  // woke: end of this gateway's last stall
   bool engines_known_ = false;
-  Actions* act_ = nullptr;
+  WorkloadManagerDelegate* act_ = nullptr;
 };
 
-Gateway::Gateway(Settings s, uint64_t seed) : impl_(std::make_unique<Impl>(std::move(s), seed)) {}
-Gateway::~Gateway() = default;
-Gateway::Gateway(Gateway&&) noexcept = default;
-Gateway& Gateway::operator=(Gateway&&) noexcept = default;
+WorkloadManager::WorkloadManager(Settings s, uint64_t seed)
+    : impl_(std::make_unique<Impl>(std::move(s), seed)) {}
+WorkloadManager::~WorkloadManager() = default;
+WorkloadManager::WorkloadManager(WorkloadManager&&) noexcept = default;
+WorkloadManager& WorkloadManager::operator=(WorkloadManager&&) noexcept = default;
 
-void Gateway::on_start(TimeUs now, Actions& a) { impl_->at(now, a).on_start(); }
-void Gateway::on_list(TimeUs now, ListForm form, const std::vector<EngineEntry>& entries, Actions& a) {
+void WorkloadManager::on_start(TimeUs now, WorkloadManagerDelegate& a) { impl_->at(now, a).on_start(); }
+void WorkloadManager::on_endpoints_changed(TimeUs now, EndpointUpdateKind form,
+                                           const std::vector<Endpoint>& entries, WorkloadManagerDelegate& a) {
   impl_->at(now, a).on_list(form, entries);
 }
-void Gateway::on_request(TimeUs now, const QueryRequest& r, Actions& a) { impl_->at(now, a).on_request(r); }
-void Gateway::on_stream_started(TimeUs now, RequestId id, int attempt, Actions& a) {
+void WorkloadManager::on_request(TimeUs now, const QueryRequest& r, WorkloadManagerDelegate& a) {
+  impl_->at(now, a).on_request(r);
+}
+void WorkloadManager::on_response_started(TimeUs now, RequestId id, int attempt, WorkloadManagerDelegate& a) {
   impl_->at(now, a).on_stream_started(id, attempt);
 }
-void Gateway::on_attempt_end(TimeUs t, const AttemptEnd& e, Actions& a) { impl_->at(t, a).on_attempt_end(e); }
-void Gateway::on_progress(TimeUs now, const ProgressNote& n, Actions& a) { impl_->at(now, a).on_progress(n); }
-void Gateway::on_client_left(TimeUs now, RequestId id, Actions& a) { impl_->at(now, a).on_client_left(id); }
-void Gateway::on_timer(TimeUs now, uint32_t token, Actions& a) { impl_->at(now, a).on_timer(token); }
-void Gateway::on_probe_end(TimeUs now, EngineId engine, Outcome outcome, TimeUs took,
-                           const std::optional<LoadReport>& r, Actions& a) {
+void WorkloadManager::on_attempt_completed(TimeUs t, const AttemptCompletion& e, WorkloadManagerDelegate& a) {
+  impl_->at(t, a).on_attempt_end(e);
+}
+void WorkloadManager::on_progress(TimeUs now, const ProgressUpdate& n, WorkloadManagerDelegate& a) {
+  impl_->at(now, a).on_progress(n);
+}
+void WorkloadManager::on_client_disconnected(TimeUs now, RequestId id, WorkloadManagerDelegate& a) {
+  impl_->at(now, a).on_client_left(id);
+}
+void WorkloadManager::on_timer(TimeUs now, uint32_t token, WorkloadManagerDelegate& a) {
+  impl_->at(now, a).on_timer(token);
+}
+void WorkloadManager::on_health_check_completed(TimeUs now, EngineId engine, Outcome outcome, TimeUs took,
+                                                const std::optional<LoadReport>& r,
+                                                WorkloadManagerDelegate& a) {
   impl_->at(now, a).on_probe_end(engine, outcome, took, r);
 }
-void Gateway::on_stop(TimeUs now, Actions& a) { impl_->at(now, a).end_hopeless(true); }
-bool Gateway::may_leave(TimeUs t, RequestId q, int n, Actions& a) { return impl_->at(t, a).may_leave(q, n); }
-void Gateway::on_peer_message(TimeUs, int, std::string_view, Actions&) {}  // never asked for: they cost a fee
+void WorkloadManager::on_shutdown(TimeUs now, WorkloadManagerDelegate& a) {
+  impl_->at(now, a).end_hopeless(true);
+}
+bool WorkloadManager::is_attempt_still_valid(TimeUs t, RequestId q, int n, WorkloadManagerDelegate& a) {
+  return impl_->at(t, a).may_leave(q, n);
+}
+void WorkloadManager::on_gossip(TimeUs, int, std::string_view, WorkloadManagerDelegate&) {
+}  // never asked for: they cost a fee
 
 }  // namespace sablelink
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -25,16 +25,17 @@
 }
 
 // Answers with the whole list as it was told last.
-class GatewayCore::Lists : public carrier::ListSource {
+class GatewayCore::Lists : public carrier::EndpointSource {
  public:
   Lists(GatewayCore& core, boost::asio::any_io_executor executor)
       : core_(core), executor_(std::move(executor)) {}
-  void subscribe(bool on) override {
+  void watch(bool on) override {
     if (on) fetch();
   }
   void fetch() override {
-    boost::asio::post(executor_,
-                      [this] { core_.carrier_->set_list(ListForm::kFull, core_.directory_.entries()); });
+    boost::asio::post(executor_, [this] {
+      core_.carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, core_.directory_.endpoints());
+    });
   }
 
  private:
@@ -44,24 +45,25 @@
 
 GatewayCore::GatewayCore(const config::GatewayConfig& config, const GatewaySeeds& seeds,
                          const GatewayPorts& ports)
-    : first_nodes_(config.nodes),
-      nodes_(
-          {config.name + "/" + hex(seeds.start), config.front.dial_timeout_us, config.front.node_connections},
-          ports.executor, ports.channels, [this](EngineId id) { return directory_.address(id); }) {
+    : first_nodes_(config.engines),
+      nodes_({config.name + "/" + hex(seeds.start), config.flight_sql.dial_timeout_us,
+              config.flight_sql.node_connections},
+             ports.executor, ports.channels, [this](EngineId id) { return directory_.address(id); }) {
   if (ports.wrap_nodes) wrapped_ = ports.wrap_nodes(nodes_);
-  carrier::ListSource* lists = ports.lists;
+  carrier::EndpointSource* lists = ports.lists;
   if (lists == nullptr) {
     lists_ = std::make_unique<Lists>(*this, ports.executor);
     lists = lists_.get();
   }
-  carrier::NodeTransport& transport = wrapped_ ? *wrapped_ : nodes_;
-  carrier_ = ports.make_carrier
-                 ? ports.make_carrier(config.settings, seeds.module, config.carrier, ports.clock, transport,
-                                      *lists, ports.log)
-                 : std::make_unique<carrier::Carrier>(config.settings, seeds.module, config.carrier,
-                                                      ports.clock, transport, *lists, ports.log);
+  carrier::EngineTransport& transport = wrapped_ ? *wrapped_ : nodes_;
+  carrier_ = ports.make_carrier ? ports.make_carrier(config.settings, seeds.module, config.dispatcher,
+                                                     ports.clock, transport, *lists, ports.log)
+                                : std::make_unique<carrier::RequestDispatcher>(config.settings, seeds.module,
+                                                                               config.dispatcher, ports.clock,
+                                                                               transport, *lists, ports.log);
   nodes_.set_carrier(carrier_.get());
-  front_ = std::make_unique<flightsql::Front>(config, seeds.front, *carrier_, ports.clock, ports.log);
+  front_ =
+      std::make_unique<flightsql::FlightSqlServer>(config, seeds.front, *carrier_, ports.clock, ports.log);
 }
 
 GatewayCore::~GatewayCore() = default;
@@ -69,12 +71,12 @@
 void GatewayCore::start() {
   directory_.replace(first_nodes_);
   carrier_->start();
-  carrier_->set_list(ListForm::kCached, directory_.entries());
+  carrier_->on_endpoints_changed(EndpointUpdateKind::kCached, directory_.endpoints());
 }
 
-void GatewayCore::set_nodes(const std::vector<config::NodeConfig>& nodes, ListForm form) {
+void GatewayCore::set_nodes(const std::vector<config::EngineConfig>& nodes, EndpointUpdateKind form) {
   directory_.replace(nodes);
-  carrier_->set_list(form, directory_.entries());
+  carrier_->on_endpoints_changed(form, directory_.endpoints());
 }
 
 bool GatewayCore::quiesce() {
--- a/src/service/gateway_core.h
+++ b/src/service/gateway_core.h
@@ -22,15 +22,15 @@
 struct GatewaySeeds {
   uint64_t start = 0;  // names this start in every request's name
   uint64_t module = 0;
-  flightsql::FrontSeeds front;
+  flightsql::FlightSqlServerSeeds front;
 
   static GatewaySeeds draw(const std::function<uint64_t()>& random);
 };
 
 // Makes the carrier that a gateway uses.
-using CarrierMaker = std::function<std::unique_ptr<carrier::Carrier>(
-    const Settings& settings, uint64_t seed, const carrier::CarrierLimits& limits, Clock& clock,
-    carrier::NodeTransport& nodes, carrier::ListSource& lists, Log& log)>;
+using CarrierMaker = std::function<std::unique_ptr<carrier::RequestDispatcher>(
+    const Settings& settings, uint64_t seed, const carrier::DispatcherLimits& limits, Clock& clock,
+    carrier::EngineTransport& nodes, carrier::EndpointSource& lists, Log& log)>;
 
 // What a gateway is built on. All must outlive it.
 struct GatewayPorts {
@@ -39,9 +39,9 @@
   rpc::ChannelFactory& channels;
   Log& log;
   // Asked for the list where given; else it is answered with what set_nodes() has told last.
-  carrier::ListSource* lists = nullptr;
+  carrier::EndpointSource* lists = nullptr;
   // For tests that plant defects: stands between the carrier and the node client.
-  std::function<std::unique_ptr<carrier::NodeTransport>(carrier::NodeTransport&)> wrap_nodes{};
+  std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)> wrap_nodes{};
   CarrierMaker make_carrier{};  // another carrier than the plain one
 };
 
@@ -60,27 +60,28 @@
     return front_->handle(std::move(call));
   }
   // Takes a list over, in which a node that has left is missing or marked as gone.
-  void set_nodes(const std::vector<config::NodeConfig>& nodes, ListForm form = ListForm::kFull);
+  void set_nodes(const std::vector<config::EngineConfig>& nodes,
+                 EndpointUpdateKind form = EndpointUpdateKind::kFull);
   void set_selectors(config::SelectorSettings selectors) { front_->set_selectors(std::move(selectors)); }
   // Refuses what is new; on_idle is called once nothing is left.
-  void stop(std::function<void()> on_idle) { carrier_->stop(std::move(on_idle)); }
+  void stop(std::function<void()> on_idle) { carrier_->stop_accepting(std::move(on_idle)); }
   // Drops every attempt; true once all that was begun has unwound.
   bool quiesce();
 
-  const carrier::Carrier& carrier() const { return *carrier_; }
-  const flightsql::Front& front() const { return *front_; }
-  const flightsql::NodeClient& node_client() const { return nodes_; }
+  const carrier::RequestDispatcher& carrier() const { return *carrier_; }
+  const flightsql::FlightSqlServer& front() const { return *front_; }
+  const flightsql::FlightSqlEngineClient& node_client() const { return nodes_; }
 
  private:
   class Lists;
 
-  const std::vector<config::NodeConfig> first_nodes_;
-  membership::Directory directory_;
-  flightsql::NodeClient nodes_;
-  std::unique_ptr<carrier::NodeTransport> wrapped_;
+  const std::vector<config::EngineConfig> first_nodes_;
+  membership::EndpointRegistry directory_;
+  flightsql::FlightSqlEngineClient nodes_;
+  std::unique_ptr<carrier::EngineTransport> wrapped_;
   std::unique_ptr<Lists> lists_;
-  std::unique_ptr<carrier::Carrier> carrier_;
-  std::unique_ptr<flightsql::Front> front_;
+  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<flightsql::FlightSqlServer> front_;
 };
 
 }  // namespace sablelink::service
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -7,7 +7,7 @@
 namespace sablelink::service {
 namespace {
 
-rpc::GrpcClientOptions client_options(const config::FrontLimits& limits) {
+rpc::GrpcClientOptions client_options(const config::FlightSqlLimits& limits) {
   rpc::GrpcClientOptions options;
   options.max_message_bytes = static_cast<int>(limits.message_bytes);
   return options;
@@ -19,14 +19,14 @@
     : config_(std::move(config)),
       log_(make_json_log("gateway", config_.log_level)),
       loop_(system.wall, system.steady),
-      channels_(client_options(config_.front), loop_),
+      channels_(client_options(config_.flight_sql), loop_),
       core_(std::make_unique<GatewayCore>(
           config_, GatewaySeeds::draw(system.random),
           GatewayPorts{loop_.executor(), loop_, channels_, *log_, nullptr, {}})) {
   loop_.run([this] { core_->start(); });
   rpc::GrpcServerOptions options;
   options.address = config_.listen;
-  options.max_message_bytes = static_cast<int>(config_.front.message_bytes);
+  options.max_message_bytes = static_cast<int>(config_.flight_sql.message_bytes);
   try {
     server_ = std::make_unique<rpc::GrpcServer>(
         options, loop_,
@@ -38,7 +38,7 @@
   log_->info("started", {{"name", config_.name},
                          {"listen", config_.listen},
                          {"port", std::to_string(server_->port())},
-                         {"nodes", std::to_string(config_.nodes.size())}});
+                         {"nodes", std::to_string(config_.engines.size())}});
 }
 
 // All that runs on the loop must have ended before what it uses goes.
@@ -56,7 +56,7 @@
 }
 
 void GatewayService::reload(const config::GatewayConfig& config) {
-  loop_.post([this, nodes = config.nodes, selectors = config.selectors]() mutable {
+  loop_.post([this, nodes = config.engines, selectors = config.selectors]() mutable {
     core_->set_selectors(std::move(selectors));
     core_->set_nodes(nodes);
     log_->info("list_taken", {{"nodes", std::to_string(nodes.size())}});
@@ -67,13 +67,13 @@
   const auto idle = std::make_shared<std::promise<void>>();
   std::future<void> ended = idle->get_future();
   loop_.post([this, idle] {
-    log_->info("stopping", {{"open", std::to_string(core_->carrier().open())}});
+    log_->info("stopping", {{"open", std::to_string(core_->carrier().open_requests())}});
     core_->stop([idle] { idle->set_value(); });
   });
   const bool all = ended.wait_for(std::chrono::microseconds(grace)) == std::future_status::ready;
   constexpr TimeUs kFlushUs = 500'000;  // for answers that are still on their way out
   server_->shutdown(all ? kFlushUs : 0);
-  inspect([this](const carrier::Carrier&, const flightsql::Front& front) {
+  inspect([this](const carrier::RequestDispatcher&, const flightsql::FlightSqlServer& front) {
     const schemas::Store::Counts& known = front.columns().store().counts();
     const schemas::Planning::Counts& plans = front.columns().planning().counts();
     log_->info("columns", {{"asked", std::to_string(plans.asked)},
@@ -90,7 +90,7 @@
 }
 
 void GatewayService::inspect(
-    const std::function<void(const carrier::Carrier&, const flightsql::Front&)>& fn) {
+    const std::function<void(const carrier::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
   loop_.run([&] { fn(core_->carrier(), core_->front()); });
 }
 
--- a/src/service/gateway_service.h
+++ b/src/service/gateway_service.h
@@ -28,7 +28,8 @@
   // Blocks.
   void stop(TimeUs grace);
   // Runs fn on the loop and waits for it; for tests and metrics.
-  void inspect(const std::function<void(const carrier::Carrier&, const flightsql::Front&)>& fn);
+  void inspect(
+      const std::function<void(const carrier::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn);
 
  private:
   void unwind();  // waits until nothing of the core runs any more, and ends it
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -13,15 +13,16 @@
 }  // namespace
 
 // The platform tells of changes unasked; who asks is told the list as it stands.
-class PlatformService::Lists : public carrier::ListSource {
+class PlatformService::Lists : public carrier::EndpointSource {
  public:
   explicit Lists(PlatformService& service) : service_(service) {}
-  void subscribe(bool on) override {
+  void watch(bool on) override {
     if (on) fetch();
   }
   void fetch() override {
-    service_.loop_.call_after(
-        0, [this] { service_.carrier_->set_list(ListForm::kFull, service_.directory_.entries()); });
+    service_.loop_.call_after(0, [this] {
+      service_.carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, service_.directory_.endpoints());
+    });
   }
 
  private:
@@ -35,26 +36,27 @@
       net_(std::make_unique<rpc::TcpNet>(loop_)),
       lists_(std::make_unique<Lists>(*this)) {
   const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.sockets);
-  platform::NodeClientOptions to_nodes;
+  platform::EngineClientOptions to_nodes;
   to_nodes.budget = budget;
   to_nodes.dial_timeout_us = config_.dial_timeout_us;
   to_nodes.idle_close_us = config_.idle_close_us;
-  to_nodes.second_copies = config_.settings.second_copies;
+  to_nodes.hedging_allowed = config_.settings.hedging_allowed;
   to_nodes.classes = config_.names.classes;
-  nodes_ = std::make_unique<platform::NodeClient>(to_nodes, *net_, loop_, directory_);
-  carrier::CarrierLimits limits;
-  limits.hold_bytes_all = (config_.memory_mb << 20) / kHeldShare;
-  carrier_ = std::make_unique<carrier::Carrier>(config_.settings, config_.seed, limits, loop_, *nodes_,
-                                                *lists_, *log_);
-  nodes_->set_carrier(carrier_.get());
-  platform::FrontOptions to_clients;
+  nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
+  carrier::DispatcherLimits limits;
+  limits.total_buffer_bytes = (config_.memory_mb << 20) / kHeldShare;
+  carrier_ = std::make_unique<carrier::RequestDispatcher>(config_.settings, config_.seed, limits, loop_,
+                                                          *nodes_, *lists_, *log_);
+  nodes_->set_dispatcher(carrier_.get());
+  platform::HttpServerOptions to_clients;
   to_clients.classes = config_.names.classes;
   to_clients.tenants = config_.names.tenants;
-  for (const ClassSettings& cls : config_.settings.classes) to_clients.patience_us.push_back(cls.deadline_us);
-  to_clients.connections = budget.clients;
-  front_ = std::make_unique<platform::Front>(to_clients, *carrier_, *net_, loop_);
-  changes_ = std::make_unique<platform::ChangeLog>(
-      *net_, loop_, *log_, [this](const std::vector<config::NodeConfig>& nodes) { told(nodes); });
+  for (const ClassSettings& cls : config_.settings.classes)
+    to_clients.max_timeout_us.push_back(cls.request_timeout_us);
+  to_clients.max_connections = budget.clients;
+  front_ = std::make_unique<platform::HttpServer>(to_clients, *carrier_, *net_, loop_);
+  changes_ = std::make_unique<platform::EndpointWatcher>(
+      *net_, loop_, *log_, [this](const std::vector<config::EngineConfig>& nodes) { told(nodes); });
   loop_.post([this] {
     carrier_->start();
     changes_->start(config_);
@@ -80,45 +82,46 @@
   loop_.poll();
 }
 
-void PlatformService::told(const std::vector<config::NodeConfig>& nodes) {
+void PlatformService::told(const std::vector<config::EngineConfig>& nodes) {
   directory_.replace(nodes);
-  nodes_->nodes_changed();
-  carrier_->set_list(std::exchange(started_, true) ? ListForm::kFull : ListForm::kCached,
-                     directory_.entries());
+  nodes_->on_endpoints_changed();
+  carrier_->on_endpoints_changed(
+      std::exchange(started_, true) ? EndpointUpdateKind::kFull : EndpointUpdateKind::kCached,
+      directory_.endpoints());
 }
 
 void PlatformService::reload(const platform::PlatformConfig& config) {
   log_->info("reload", {{"changelog", config.changelog}});
-  changes_->move(config);
+  changes_->switch_address(config);
 }
 
 void PlatformService::stop() {
   if (std::exchange(stopping_, true)) return;
-  log_->info("stopping", {{"open", std::to_string(carrier_->open())}});
-  front_->drain();
-  const auto times = platform::DrainTimes::of(config_.settings);
-  end_by_ = loop_.now() + times.end;
-  loop_.call_after(times.stop_taking, [this] { stop_taking(); });
-  loop_.call_after(times.give_up, [this] { carrier_->give_up(); });
+  log_->info("stopping", {{"open", std::to_string(carrier_->open_requests())}});
+  front_->start_draining();
+  const auto times = platform::ShutdownSchedule::of(config_.settings);
+  end_by_ = loop_.now() + times.exit;
+  loop_.call_after(times.stop_accepting, [this] { stop_taking(); });
+  loop_.call_after(times.cancel_in_flight, [this] { carrier_->cancel_in_flight(); });
 }
 
 void PlatformService::stop_taking() {
   net_->stop_listening();
-  front_->close_resting();
+  front_->close_idle_connections();
   end_when_quiet();
 }
 
 void PlatformService::end_when_quiet() {
-  if ((carrier_->open() > 0 || !front_->quiet()) && loop_.now() < end_by_) {
+  if ((carrier_->open_requests() > 0 || !front_->is_idle()) && loop_.now() < end_by_) {
     loop_.call_after(kQuietStepUs, [this] { end_when_quiet(); });
     return;
   }
-  const platform::NodeClientCounts& n = nodes_->counts();
-  const platform::FrontCounts& f = front_->counts();
-  const carrier::CarrierCounts& c = carrier_->counts();
-  log_->info("stopped", {{"taken", std::to_string(c.taken)},
+  const platform::EngineClientCounters& n = nodes_->counters();
+  const platform::HttpServerCounters& f = front_->counters();
+  const carrier::DispatcherCounters& c = carrier_->counters();
+  log_->info("stopped", {{"taken", std::to_string(c.accepted)},
                          {"served", std::to_string(c.served)},
-                         {"refused", std::to_string(c.refused)},
+                         {"refused", std::to_string(c.rejected)},
                          {"failed", std::to_string(c.failed)},
                          {"attempts", std::to_string(c.attempts)},
                          {"connections", std::to_string(f.connections)},
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -35,14 +35,14 @@
   // run() ends; at the latest shortly before the platform's SIGKILL. Further calls change nothing.
   void stop();
 
-  const carrier::Carrier& carrier() const { return *carrier_; }
-  const platform::Front& front() const { return *front_; }
-  const platform::NodeClient& nodes() const { return *nodes_; }
+  const carrier::RequestDispatcher& carrier() const { return *carrier_; }
+  const platform::HttpServer& front() const { return *front_; }
+  const platform::EngineClient& nodes() const { return *nodes_; }
 
  private:
   class Lists;
 
-  void told(const std::vector<config::NodeConfig>& nodes);
+  void told(const std::vector<config::EngineConfig>& nodes);
   void stop_taking();
   void end_when_quiet();
 
@@ -50,12 +50,12 @@
   std::unique_ptr<Log> log_;
   rpc::AsioLoop loop_;
   std::unique_ptr<rpc::TcpNet> net_;
-  membership::Directory directory_;
+  membership::EndpointRegistry directory_;
   std::unique_ptr<Lists> lists_;
-  std::unique_ptr<platform::NodeClient> nodes_;
-  std::unique_ptr<carrier::Carrier> carrier_;
-  std::unique_ptr<platform::Front> front_;
-  std::unique_ptr<platform::ChangeLog> changes_;
+  std::unique_ptr<platform::EngineClient> nodes_;
+  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<platform::HttpServer> front_;
+  std::unique_ptr<platform::EndpointWatcher> changes_;
   int port_ = 0;
   bool started_ = false, stopping_ = false;
   TimeUs end_by_ = 0;  // of the drain
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -106,21 +106,24 @@
   if (!in.has(p + "AimUs") || !in.has(p + "DeadlineUs")) {
     throw SettingsError("settings: " + p + (in.has(p + "AimUs") ? "DeadlineUs" : "AimUs") + " is missing");
   }
-  in.number(p + "AimUs", c.aim_us);
-  in.number(p + "AimStretch", c.aim_stretch);
-  in.number(p + "DeadlineUs", c.deadline_us);
-  in.number(p + "Worth", c.worth);
-  in.number(p + "LateWorth", c.late_worth);
+  in.number(p + "AimUs", c.latency_objective_us);
+  in.number(p + "AimStretch", c.latency_objective_stretch);
+  in.number(p + "DeadlineUs", c.request_timeout_us);
+  in.number(p + "Worth", c.priority_weight);
+  in.number(p + "LateWorth", c.late_weight_fraction);
   in.word(p + "Repeat",
-          {{"retryable", Repeat::kRetryable}, {"dedup", Repeat::kDedup}, {"fragile", Repeat::kFragile}},
-          c.repeat);
-  in.word(p + "KeyScope", {{"all", KeyScope::kAll}, {"zone", KeyScope::kZone}, {"cell", KeyScope::kCell}},
-          c.key_scope);
-  in.number(p + "WindowUs", c.window_us);
-  in.flag(p + "Stream", c.stream);
-  in.flag(p + "ByArrival", c.in_order);
-  in.indices(p + "StaysIn", "Zones", c.only_zones);
-  in.indices(p + "RunsOn", "Flavors", c.only_kinds);
+          {{"retryable", Idempotency::kIdempotent},
+           {"dedup", Idempotency::kIdempotentWithKey},
+           {"fragile", Idempotency::kNotIdempotent}},
+          c.idempotency);
+  in.word(p + "KeyScope",
+          {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}},
+          c.dedup_scope);
+  in.number(p + "WindowUs", c.dedup_window_us);
+  in.flag(p + "Stream", c.streams_response);
+  in.flag(p + "ByArrival", c.ordered_by_key);
+  in.indices(p + "StaysIn", "Zones", c.allowed_zones);
+  in.indices(p + "RunsOn", "Flavors", c.allowed_engine_types);
 }
 
 // Tenants come as a list of objects; some deployments have none.
@@ -131,10 +134,10 @@
   s.tenants.resize(tenants);
   for (int i = 0; i < tenants; ++i) {
     const std::string key = "Tenants." + std::to_string(i) + ".AllowancePerS";
-    in.number(key, s.tenants[i].allowance_per_s);
-    if (s.tenants[i].allowance_per_s < 0) throw SettingsError("settings: " + key + " is below 0");
+    in.number(key, s.tenants[i].quota_requests_per_s);
+    if (s.tenants[i].quota_requests_per_s < 0) throw SettingsError("settings: " + key + " is below 0");
   }
-  in.number("OverShareWorth", s.over_share_worth);
+  in.number("OverShareWorth", s.over_quota_weight_fraction);
 }
 
 // Load reports come with answers and probes, with probes alone, or not at all.
@@ -143,8 +146,8 @@
   Source source = Source::kInline;
   in.word("Report.Source",
           {{"inline", Source::kInline}, {"on_probe", Source::kOnProbe}, {"off", Source::kOff}}, source);
-  s.reports_in_answers = source == Source::kInline;
-  s.reports_in_probes = source != Source::kOff;
+  s.load_reports_in_responses = source == Source::kInline;
+  s.load_reports_in_health_checks = source != Source::kOff;
 }
 
 }  // namespace
@@ -167,64 +170,65 @@
     read_class(in, i, c);
     if (i < static_cast<int>(threads.size())) c.threads = threads[i];
     if (i < static_cast<int>(writes.size())) c.writes_tables = to_bool("Extra.WritesTables", writes[i]);
-    if (i < static_cast<int>(waits.size())) c.waits_for_loads = to_bool("Extra.WaitsForLoads", waits[i]);
+    if (i < static_cast<int>(waits.size()))
+      c.blocked_by_table_loads = to_bool("Extra.WaitsForLoads", waits[i]);
   }
-  in.number("Instances", s.instances);
-  in.number("SelfIndex", s.self_index);
+  in.number("Instances", s.gateway_count);
+  in.number("SelfIndex", s.gateway_index);
   in.number("Zone", s.zone);
   in.number("TickUs", s.tick_us);
-  in.word("Discovery", {{"automatic", false}, {"subscribe", true}}, s.subscribe_discovery);
-  in.numbers("Extra.KindCores", s.kind_cores);
-  in.numbers("Extra.SizeMb", s.kind_memory_mb);
-  in.number("Extra.MostGrant", s.most_grant);
-  in.flag("Extra.Grants", s.grants_heeded);
-  in.flag("Extra.TakesPriority", s.priorities_heeded);
-  in.flag("Extra.SaysCost", s.tells_cost);
-  in.number("Extra.TellsEveryUs", s.progress_every_us);
+  in.word("Discovery", {{"automatic", false}, {"subscribe", true}}, s.watch_endpoints);
+  in.numbers("Extra.KindCores", s.engine_type_cores);
+  in.numbers("Extra.SizeMb", s.engine_type_memory_mb);
+  in.number("Extra.MostGrant", s.max_grant_fraction);
+  in.flag("Extra.Grants", s.engines_honor_grants);
+  in.flag("Extra.TakesPriority", s.engines_honor_priorities);
+  in.flag("Extra.SaysCost", s.engines_report_cost);
+  in.number("Extra.TellsEveryUs", s.progress_interval_us);
   in.word("Extra.MemoryShort",
-          {{"line_up", MemoryShort::kLineUp},
-           {"cut", MemoryShort::kCut},
-           {"overcommit", MemoryShort::kOvercommit}},
-          s.memory_short);
-  in.flag("Limits.Cancel", s.may_cancel);
-  in.flag("Limits.Probes", s.may_probe);
-  in.flag("Limits.Peers", s.may_tell_peers);
-  in.flag("Limits.SecondCopies", s.second_copies);
-  in.flag("Limits.RetryAfter", s.retry_after_heeded);
+          {{"line_up", MemoryPressurePolicy::kQueue},
+           {"cut", MemoryPressurePolicy::kReduceGrant},
+           {"overcommit", MemoryPressurePolicy::kOvercommit}},
+          s.memory_pressure_policy);
+  in.flag("Limits.Cancel", s.cancellation_allowed);
+  in.flag("Limits.Probes", s.health_checks_allowed);
+  in.flag("Limits.Peers", s.gossip_allowed);
+  in.flag("Limits.SecondCopies", s.hedging_allowed);
+  in.flag("Limits.RetryAfter", s.clients_honor_retry_after);
   in.number("Limits.MaxRetryAfterUs", s.max_retry_after_us);
   in.number("Limits.MaxAttempts", s.max_attempts);
-  in.number("Rules.AnswerSlackUs", s.answer_slack_us);
+  in.number("Rules.AnswerSlackUs", s.response_slack_us);
   in.number("Rules.DrainGraceUs", s.drain_grace_us);
-  in.number("Rules.AskWithinUs", s.ask_within_us);
-  in.number("Rules.ColdFrom", s.cold_from);
-  in.number("Rules.FallMultiple", s.fall_multiple);
-  in.number("Rules.FallUs", s.fall_us);
-  in.number("Rules.WarmAfterUs", s.warm_after_us);
-  in.number("Rules.TurnGapUs", s.turn_gap_us);
-  s.attempts_rationed = in.has("Rules.CountedOverUs");
-  in.number("Rules.BudgetFree", s.budget_free);
-  in.number("Rules.ExtraPerRequest", s.budget_per_request);
-  in.number("Rules.CountedOverUs", s.budget_window_us);
-  in.number("Fees.CrossZone", s.cross_zone_fee);
-  in.number("Fees.Probe", s.probe_fee);
+  in.number("Rules.AskWithinUs", s.endpoint_poll_limit_us);
+  in.number("Rules.ColdFrom", s.slow_start_min_capacity_fraction);
+  in.number("Rules.FallMultiple", s.collapse_load_multiple);
+  in.number("Rules.FallUs", s.collapse_window_us);
+  in.number("Rules.WarmAfterUs", s.slow_start_duration_us);
+  in.number("Rules.TurnGapUs", s.ordering_gap_us);
+  s.retry_budget_enabled = in.has("Rules.CountedOverUs");
+  in.number("Rules.BudgetFree", s.retry_budget_base);
+  in.number("Rules.ExtraPerRequest", s.retry_budget_per_request);
+  in.number("Rules.CountedOverUs", s.retry_budget_window_us);
+  in.number("Fees.CrossZone", s.cross_zone_cost);
+  in.number("Fees.Probe", s.health_check_cost);
   read_tenants(in, s);
   read_report_source(in, s);
   return s;
 }
 
-std::vector<std::string> parse_report_fields(std::string_view text) {
+std::vector<std::string> parse_load_report_fields(std::string_view text) {
   const Reader in(text);
   const std::string* v = in.find("Report.Fields");
   return v ? split_list(*v) : std::vector<std::string>();
 }
 
-bool set_report_value(LoadReport& report, std::string_view field, double value) {
-  std::optional<double>* const target = field == "concurrent" || field == "inflight" ? &report.held
-                                        : field == "depth" || field == "queue"       ? &report.waiting
-                                        : field == "load_share" || field == "util"   ? &report.cpu_share
-                                        : field == "x0"                              ? &report.memory_share
-                                        : field == "x1"                              ? &report.disk_share
-                                                                                     : nullptr;
+bool set_load_report_value(LoadReport& report, std::string_view field, double value) {
+  std::optional<double>* const target = field == "concurrent" || field == "inflight" ? &report.in_flight
+                                        : field == "depth" || field == "queue" ? &report.waiting_for_memory
+                                        : field == "load_share" || field == "util" ? &report.cpu_utilization
+                                        : field == "x0" ? &report.memory_utilization
+                                        : field == "x1" ? &report.disk_utilization
+                                                        : nullptr;
   if (target != nullptr) *target = value;
   return target != nullptr;
 }
--- a/src/settings.h
+++ b/src/settings.h
@@ -17,9 +17,9 @@
 Settings parse_settings(std::string_view text);
 
 // Names of the report values, in the order in which reports carry them (Report.Fields).
-std::vector<std::string> parse_report_fields(std::string_view text);
+std::vector<std::string> parse_load_report_fields(std::string_view text);
 
 // Sets the value that a report's field names; false where it names none of those known.
-bool set_report_value(LoadReport& report, std::string_view field, double value);
+bool set_load_report_value(LoadReport& report, std::string_view field, double value);
 
 }  // namespace sablelink
--- a/src/sim/defects.cpp
+++ b/src/sim/defects.cpp
@@ -38,11 +38,11 @@
 constexpr TimeUs kLateUs = 300'000;
 
 // Spoils the way from the carrier to its node client.
-class SpoiltTransport : public carrier::NodeTransport {
+class SpoiltTransport : public carrier::EngineTransport {
  public:
-  SpoiltTransport(Defect defect, carrier::NodeTransport& inner) : defect_(defect), inner_(inner) {}
-  void start(carrier::AttemptKey key, EngineId engine, const carrier::AttemptOrder& order) override {
-    if (defect_ == Defect::kPlanStays && order.statement->task == carrier::Task::kPlan) {
+  SpoiltTransport(Defect defect, carrier::EngineTransport& inner) : defect_(defect), inner_(inner) {}
+  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override {
+    if (defect_ == Defect::kPlanStays && order.statement->kind == carrier::ExecutionKind::kPlan) {
       if (plans_at_ == 0) plans_at_ = engine;
       engine = plans_at_;
     }
@@ -52,27 +52,27 @@
       inner_.start(key, engine, order);
     }
   }
-  void drop(carrier::AttemptKey key) override {
-    if (defect_ != Defect::kDropForgotten) inner_.drop(key);
+  void cancel(carrier::AttemptId key) override {
+    if (defect_ != Defect::kDropForgotten) inner_.cancel(key);
   }
-  void resume(carrier::AttemptKey key) override { inner_.resume(key); }
-  void probe(uint32_t probe, EngineId engine) override { inner_.probe(probe, engine); }
-  void close_idle(EngineId engine) override { inner_.close_idle(engine); }
+  void resume(carrier::AttemptId key) override { inner_.resume(key); }
+  void check_health(uint32_t probe, EngineId engine) override { inner_.check_health(probe, engine); }
+  void close_idle_connections(EngineId engine) override { inner_.close_idle_connections(engine); }
 
  private:
   const Defect defect_;
-  carrier::NodeTransport& inner_;
+  carrier::EngineTransport& inner_;
   uint64_t count_ = 0;
   EngineId plans_at_ = 0;
 };
 
 // Never lets go of what a client hasn't read.
-class HoardingCarrier : public carrier::Carrier {
+class HoardingCarrier : public carrier::RequestDispatcher {
  public:
-  using Carrier::Carrier;
+  using RequestDispatcher::RequestDispatcher;
 
  private:
-  void forget_unsent(RequestId) override {}
+  void forget_unconsumed(RequestId) override {}
 };
 
 }  // namespace
@@ -175,31 +175,34 @@
 void DefectiveParts::spoil(config::GatewayConfig* config) const {
   Settings& s = config->settings;
   for (ClassSettings& c : s.classes) {
-    if (defect_ == Defect::kUnsafeRepeated && c.repeat == Repeat::kFragile) c.repeat = Repeat::kRetryable;
-    if (defect_ == Defect::kKeyedAnywhere && c.repeat == Repeat::kDedup) c.key_scope = KeyScope::kAll;
-    if (defect_ == Defect::kOrderIgnored) c.in_order = false;
-    if (defect_ == Defect::kPlacementIgnored) c.only_zones.clear();
+    if (defect_ == Defect::kUnsafeRepeated && c.idempotency == Idempotency::kNotIdempotent)
+      c.idempotency = Idempotency::kIdempotent;
+    if (defect_ == Defect::kKeyedAnywhere && c.idempotency == Idempotency::kIdempotentWithKey)
+      c.dedup_scope = DedupScope::kAll;
+    if (defect_ == Defect::kOrderIgnored) c.ordered_by_key = false;
+    if (defect_ == Defect::kPlacementIgnored) c.allowed_zones.clear();
   }
   if (defect_ == Defect::kGraceIgnored) s.drain_grace_us = 3600'000'000;
-  if (defect_ == Defect::kGapIgnored) s.turn_gap_us = 0;
-  if (defect_ == Defect::kBudgetIgnored) s.attempts_rationed = false;
-  if (defect_ == Defect::kColdIgnored) s.fall_us = 0, s.cold_from = 1, s.warm_after_us = 0;
+  if (defect_ == Defect::kGapIgnored) s.ordering_gap_us = 0;
+  if (defect_ == Defect::kBudgetIgnored) s.retry_budget_enabled = false;
+  if (defect_ == Defect::kColdIgnored)
+    s.collapse_window_us = 0, s.slow_start_min_capacity_fraction = 1, s.slow_start_duration_us = 0;
   if (defect_ == Defect::kPlanUnbounded) config->planning.free = config->planning.at_once = 1'000'000;
-  spoil(&config->nodes);
+  spoil(&config->engines);
 }
 
-void DefectiveParts::spoil(std::vector<config::NodeConfig>* list) const {
-  for (config::NodeConfig& n : *list) {
-    if (defect_ == Defect::kDrainIgnored) n.state = EngineState::kReady;
-    if (defect_ == Defect::kColdIgnored) n.started_us = 0;
+void DefectiveParts::spoil(std::vector<config::EngineConfig>* list) const {
+  for (config::EngineConfig& n : *list) {
+    if (defect_ == Defect::kDrainIgnored) n.state = EndpointState::kReady;
+    if (defect_ == Defect::kColdIgnored) n.started_at = 0;
   }
 }
 
-std::function<std::unique_ptr<carrier::NodeTransport>(carrier::NodeTransport&)> DefectiveParts::wrap_nodes()
-    const {
+std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)>
+DefectiveParts::wrap_nodes() const {
   if (defect_ != Defect::kDoubledSend && defect_ != Defect::kDropForgotten && defect_ != Defect::kPlanStays)
     return {};
-  return [defect = defect_](carrier::NodeTransport& inner) {
+  return [defect = defect_](carrier::EngineTransport& inner) {
     return std::make_unique<SpoiltTransport>(defect, inner);
   };
 }
@@ -211,7 +214,7 @@
 
 service::CarrierMaker DefectiveParts::make_carrier() const {
   if (defect_ != Defect::kUnreadKept) return {};
-  return [](auto&&... parts) -> std::unique_ptr<carrier::Carrier> {
+  return [](auto&&... parts) -> std::unique_ptr<carrier::RequestDispatcher> {
     return std::make_unique<HoardingCarrier>(parts...);
   };
 }
--- a/src/sim/defects.h
+++ b/src/sim/defects.h
@@ -22,9 +22,9 @@
   ~DefectiveParts();
 
   void spoil(config::GatewayConfig* config) const;
-  void spoil(std::vector<config::NodeConfig>* list) const;
+  void spoil(std::vector<config::EngineConfig>* list) const;
   Clock& clock();
-  std::function<std::unique_ptr<carrier::NodeTransport>(carrier::NodeTransport&)> wrap_nodes() const;
+  std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)> wrap_nodes() const;
   std::shared_ptr<rpc::ServerCall> wrap_call(std::shared_ptr<rpc::ServerCall> call);
   service::CarrierMaker make_carrier() const;
 
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -126,9 +126,9 @@
             std::string(cls) + "\"\n";
   text += "[gateway]\ninstances = " + std::to_string(s.gateways) + "\n";
   config::GatewayConfig c = config::parse_gateway_config(text, "simulation");
-  c.settings.kind_cores = {s.cores};
-  c.settings.kind_memory_mb = {8192};
-  c.settings.may_probe = s.probes;
+  c.settings.engine_type_cores = {s.cores};
+  c.settings.engine_type_memory_mb = {8192};
+  c.settings.health_checks_allowed = s.probes;
   return c;
 }
 
@@ -218,10 +218,10 @@
     result.attempts = observer_.rules().attempts();
     for (const Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::CarrierCounts& c = g.core->carrier().counts();
-      result.streams += c.streams;
-      result.bound_reached += c.bound_reached;
-      result.left_unread += c.left_unread;
+      const carrier::DispatcherCounters& c = g.core->carrier().counters();
+      result.streams += c.streamed_responses;
+      result.bound_reached += c.buffer_limit_reached;
+      result.left_unread += c.disconnected_unread;
     }
     result.plans = observer_.plans_made();
     result.further_attempts = observer_.rules().further_attempts();
@@ -237,7 +237,7 @@
     std::unique_ptr<nodes::StandIn> stand_in;
     std::shared_ptr<Network::Listener> listener;
     // As the register has it.
-    EngineState state = EngineState::kReady;
+    EndpointState state = EndpointState::kReady;
     TimeUs started_at = 0;
     int zone = 0, cell = 0;
     uint64_t life = 0;
@@ -253,9 +253,9 @@
     std::unique_ptr<service::GatewayCore> core;
     std::shared_ptr<Network::Listener> listener;
     uint64_t life = 0, lists = 0;
-    std::map<std::string, EngineState> heard;  // of each node, last
-    TimeUs deaf_until = 0;                     // discovery is down
-    std::vector<config::NodeConfig> cached;    // the list that its next start begins with; empty: the present
+    std::map<std::string, EndpointState> heard;  // of each node, last
+    TimeUs deaf_until = 0;                       // discovery is down
+    std::vector<config::EngineConfig> cached;  // the list that its next start begins with; empty: the present
     TimeUs short_until = 0, doubled_until = 0;
   };
   struct Desk {
@@ -279,8 +279,8 @@
       f.zone = i % s_.zones;
       f.cell = i / 2;
       f.cores = s_.cores;
-      f.cold_from = config_.settings.cold_from;
-      f.warm_after_us = config_.settings.warm_after_us;
+      f.cold_from = config_.settings.slow_start_min_capacity_fraction;
+      f.warm_after_us = config_.settings.slow_start_duration_us;
       a.nodes.push_back(f);
     }
     return a;
@@ -296,8 +296,8 @@
     nodes::EngineSettings& e = n.config.engine;
     e.cores = s_.cores;
     e.memory_mb = 8192;
-    e.fall_multiple = config_.settings.fall_multiple;
-    e.fall_us = config_.settings.fall_us;
+    e.fall_multiple = config_.settings.collapse_load_multiple;
+    e.fall_us = config_.settings.collapse_window_us;
     n.zone = i % s_.zones;
     n.cell = i / 2;
     nodes_.push_back(std::move(n));
@@ -310,15 +310,15 @@
     const bool first = n.life++ == 0;
     nodes::NodeConfig config = n.config;
     if (!first) {
-      config.engine.cold_from = config_.settings.cold_from;
-      config.engine.warm_after_us = config_.settings.warm_after_us;
+      config.engine.cold_from = config_.settings.slow_start_min_capacity_fraction;
+      config.engine.warm_after_us = config_.settings.slow_start_duration_us;
     }
     n.stand_in = std::make_unique<nodes::StandIn>(std::move(config), *n.actor, &observer_);
     n.listener =
         network_.listen(n.name, n.actor, [raw = n.stand_in.get()](std::shared_ptr<rpc::ServerCall> call) {
           return raw->handle(std::move(call));
         });
-    n.state = EngineState::kReady;
+    n.state = EndpointState::kReady;
     n.started_at = world_.now();
     publish();
   }
@@ -349,10 +349,10 @@
     g.heard.clear();
     config::GatewayConfig config = config_;
     config.name = g.name;
-    config.settings.self_index = g.index;
+    config.settings.gateway_index = g.index;
     config.settings.zone = g.index % s_.zones;
-    config.nodes = g.cached.empty() ? list_for(g) : std::exchange(g.cached, {});
-    tell_observer(g, config.nodes);
+    config.engines = g.cached.empty() ? list_for(g) : std::exchange(g.cached, {});
+    tell_observer(g, config.engines);
     RandomStream random = world_.stream("gateway/" + g.name + "/" + std::to_string(g.life));
     const auto seeds = service::GatewaySeeds::draw([&random] { return random.next(); });
     g.parts = std::make_unique<DefectiveParts>(options_.defect, *g.actor);
@@ -402,18 +402,18 @@
 
   // ---- The list of nodes ----------------------------------------------------------------------------------
 
-  std::vector<config::NodeConfig> list_for(const Gateway& g) const {
-    std::vector<config::NodeConfig> list;
+  std::vector<config::EngineConfig> list_for(const Gateway& g) const {
+    std::vector<config::EngineConfig> list;
     for (size_t i = 0; i < nodes_.size(); ++i) {
       const Node& n = nodes_[i];
-      if (n.state == EngineState::kGone) continue;
+      if (n.state == EndpointState::kRemoved) continue;
       if (world_.now() < g.short_until && (i + g.index) % 3 == 0) continue;
-      config::NodeConfig entry;
+      config::EngineConfig entry;
       entry.name = entry.address = n.name;
       entry.state = n.state;
       entry.cell = n.cell;
       entry.zone = n.zone;
-      entry.started_us = n.started_at;
+      entry.started_at = n.started_at;
       list.push_back(entry);
       if (world_.now() < g.doubled_until && i % 4 == 1) list.push_back(entry);
     }
@@ -438,7 +438,7 @@
           schedule_list(g);
           return;
         }
-        std::vector<config::NodeConfig> list = list_for(g);
+        std::vector<config::EngineConfig> list = list_for(g);
         tell_observer(g, list);
         g.parts->spoil(&list);
         g.core->set_nodes(list);
@@ -446,18 +446,18 @@
     });
   }
 
-  void tell_observer(Gateway& g, const std::vector<config::NodeConfig>& list) {
-    std::map<std::string, EngineState> now;
-    for (const Node& n : nodes_) now[n.name] = EngineState::kGone;
-    for (const config::NodeConfig& n : list) {
+  void tell_observer(Gateway& g, const std::vector<config::EngineConfig>& list) {
+    std::map<std::string, EndpointState> now;
+    for (const Node& n : nodes_) now[n.name] = EndpointState::kRemoved;
+    for (const config::EngineConfig& n : list) {
       now[n.name] = n.state;
       for (const Node& node : nodes_)
-        if (node.name == n.name && node.started_at == n.started_us) observer_.told_start(g.name, n.name);
+        if (node.name == n.name && node.started_at == n.started_at) observer_.told_start(g.name, n.name);
     }
     for (const auto& [name, state] : now) {
       const auto before = g.heard.find(name);
-      const bool ready = state == EngineState::kReady;
-      const bool was_ready = before != g.heard.end() && before->second == EngineState::kReady;
+      const bool ready = state == EndpointState::kReady;
+      const bool was_ready = before != g.heard.end() && before->second == EndpointState::kReady;
       if (ready && !was_ready) observer_.told_ready(g.name, name);
       if (!ready && (was_ready || before == g.heard.end())) observer_.told_leaves(g.name, name);
     }
@@ -543,13 +543,13 @@
       };
       const flightsql::QueryResult result =
           co_await to->query(std::move(text), std::move(o), std::move(read));
-      const bool served = result.from_gateway && result.verdict == carrier::Verdict::kServed;
+      const bool served = result.from_gateway && result.verdict == carrier::RequestStatus::kServed;
       c.fault = check->fault(served);
       if (c.fault.empty() && result.has_schema && result.promised && *result.promised != result.schema)
         c.fault = "its columns aren't those that its ticket promised";
       if (c.fault.empty() && result.schema_changed) c.fault = "its columns are said to have changed";
       observer_.client_ends(c, result, *left_early);
-      const bool promised = result.from_gateway && result.verdict == carrier::Verdict::kRefused;
+      const bool promised = result.from_gateway && result.verdict == carrier::RequestStatus::kRejected;
       // Without a promise that nothing ran, a client repeats only what bears it; one that left comes back.
       const bool bears = r.cls == "lookup" || r.cls == "report" || r.cls == "bound";
       if (served || !(promised || bears)) break;
@@ -577,13 +577,13 @@
   void drain(Node& n, TimeUs how_long, bool late) {
     if (!n.up()) return;
     if (!late) {
-      n.state = EngineState::kDraining;
+      n.state = EndpointState::kDraining;
       publish();
     }
     n.stand_in->drain();
     world_.after(how_long, [this, &n, life = n.life] {
       if (!n.up() || n.life != life) return;
-      n.state = EngineState::kGone;
+      n.state = EndpointState::kRemoved;
       publish();
       kill(n, false);
       restart_later(n, kRestartUs);
@@ -596,7 +596,7 @@
     // The register finds out after a while.
     world_.after(std::min<TimeUs>(how_long / 2, 500 * kMs), [this, &n, life = n.life] {
       if (n.up() || n.life != life) return;
-      n.state = EngineState::kGone;
+      n.state = EndpointState::kRemoved;
       publish();
     });
     restart_later(n, how_long);
@@ -755,11 +755,11 @@
     observer_.after_step();
     for (Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::Carrier& c = g.core->carrier();
+      const carrier::RequestDispatcher& c = g.core->carrier();
       // What flows is bounded by each answer's window; a message that passes a bound is held whole.
-      const size_t flowing = c.entries() * (config_.carrier.window_bytes + kMessageBytes);
-      if (c.held_bytes() > config_.carrier.hold_bytes_all + kMessageBytes + flowing)
-        observer_.broken(g.name + " holds " + std::to_string(c.held_bytes()) + " bytes");
+      const size_t flowing = c.tracked_requests() * (config_.dispatcher.stream_window_bytes + kMessageBytes);
+      if (c.buffered_bytes() > config_.dispatcher.total_buffer_bytes + kMessageBytes + flowing)
+        observer_.broken(g.name + " holds " + std::to_string(c.buffered_bytes()) + " bytes");
       // Timers can't be revoked, so each request may leave a few that come for nothing.
       const size_t most = 200 + 8 * (s_.requests.size() + 100);
       if (g.actor->timers() > most)
@@ -776,15 +776,15 @@
     empty("the world", "clients", clients_out_);
     for (const Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::Carrier& c = g.core->carrier();
-      empty(g.name, "requests", c.entries());
-      empty(g.name, "requests without an answer", c.open());
-      empty(g.name, "bytes held", c.held_bytes());
+      const carrier::RequestDispatcher& c = g.core->carrier();
+      empty(g.name, "requests", c.tracked_requests());
+      empty(g.name, "requests without an answer", c.open_requests());
+      empty(g.name, "bytes held", c.buffered_bytes());
       empty(g.name, "planning calls", g.core->front().columns().planning().out());
       empty(g.name, "clients that wait for plans", g.core->front().columns().planning().waiting());
       empty(g.name, "calls of clients", network_.running(g.listener));
       const size_t busy = g.core->node_client().busy();
-      if (busy > c.probes_out()) empty(g.name, "attempts", busy);
+      if (busy > c.outstanding_health_checks()) empty(g.name, "attempts", busy);
     }
     for (const Node& n : nodes_)
       if (n.up() && !n.stand_in->fallen()) empty(n.name, "calls", network_.running(n.listener));
--- a/src/state.h
+++ b/src/state.h
@@ -20,7 +20,7 @@
   bool streaming = false;
   bool cancelling = false;
   bool may_have_run = false;
-  EngineEntry ran_on;  // of the first attempt that may have run
+  Endpoint ran_on;  // of the first attempt that may have run
   TimeUs ran_since = 0;
   int attempts = 0;
   int slow_seen = 0;  // attempts cancelled as bad plans
@@ -35,7 +35,7 @@
 };
 
 struct Engine {
-  EngineEntry entry;
+  Endpoint entry;
   double cores = 0;
   std::vector<Query*> queue;    // unsent, in starting order
   std::vector<Query*> running;  // sent, no outcome yet, in sending order
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -15,15 +15,15 @@
   Made() {
     settings.classes.resize(4);
     settings.class_names = {"safe", "unsafe", "ordered", "bound"};
-    settings.classes[1].repeat = Repeat::kFragile;
-    settings.classes[2].in_order = true;
-    settings.classes[3].only_zones = {1};
+    settings.classes[1].idempotency = Idempotency::kNotIdempotent;
+    settings.classes[2].ordered_by_key = true;
+    settings.classes[3].allowed_zones = {1};
     settings.nodes = {{"n0", 0, 0, 0, 8, 0.25, 10 * kSecond}, {"n1", 1, 0, 1, 8, 1, 0}};
     settings.rules.drain_grace_us = 250 * kMs;
-    settings.rules.turn_gap_us = kSecond;
-    settings.rules.fall_us = kSecond;
-    settings.rules.fall_multiple = 2;
-    settings.rules.answer_slack_us = 20 * kMs;
+    settings.rules.ordering_gap_us = kSecond;
+    settings.rules.collapse_window_us = kSecond;
+    settings.rules.collapse_load_multiple = 2;
+    settings.rules.response_slack_us = 20 * kMs;
     settings.slack_us = 10 * kMs;
   }
 
@@ -140,7 +140,7 @@
   ran("a", 0, "n0", 0, 80 * kMs, End::kCancelled);
   ran("a", 1, "n1", 50 * kMs, 90 * kMs);
   EXPECT_EQ(broken(), std::vector<int>{2});
-  settings.rules.second_copies = true;
+  settings.rules.hedging_allowed = true;
   EXPECT_EQ(broken(), none);
 }
 
@@ -172,9 +172,9 @@
 }
 
 TEST_F(Made, Rule2KeyedOutsideItsGroupOrTime) {
-  settings.classes[0].repeat = Repeat::kDedup;
-  settings.classes[0].key_scope = KeyScope::kZone;
-  settings.classes[0].window_us = kSecond;
+  settings.classes[0].idempotency = Idempotency::kIdempotentWithKey;
+  settings.classes[0].dedup_scope = DedupScope::kZone;
+  settings.classes[0].dedup_window_us = kSecond;
   asked("a", 0, 0, 3 * kSecond);
   ran("a", 0, "n0", 0, 10 * kMs, End::kError);
   ran("a", 1, "n0", 20 * kMs, 30 * kMs, End::kError);
@@ -266,10 +266,10 @@
 }
 
 TEST_F(Made, Rule7PastTheBudget) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.budget_window_us = 10 * kSecond;
-  settings.rules.budget_free = 1;
-  settings.rules.budget_per_request = 0.5;
+  settings.rules.retry_budget_enabled = true;
+  settings.rules.retry_budget_window_us = 10 * kSecond;
+  settings.rules.retry_budget_base = 1;
+  settings.rules.retry_budget_per_request = 0.5;
   asked("a", 0, 0, 900 * kMs);
   asked("b", 0, 0, 900 * kMs);
   for (int i = 0; i < 3; ++i) ran("a", i, "n0", i * 100 * kMs, i * 100 * kMs + kMs, End::kError);
@@ -280,9 +280,9 @@
 
 // An attempt that never left was made at some time after the one before it: perhaps in an earlier window.
 TEST_F(Made, Rule7CountsUnseenAttemptsOnlyWhereTheySurelyWere) {
-  settings.rules.attempts_rationed = true;
-  settings.rules.budget_window_us = kSecond;
-  settings.rules.budget_free = 2;
+  settings.rules.retry_budget_enabled = true;
+  settings.rules.retry_budget_window_us = kSecond;
+  settings.rules.retry_budget_base = 2;
   asked("a", 0, 0, 3 * kSecond);
   ran("a", 0, "n0", 0, 10 * kMs, End::kError);
   ran("a", 2, "n0", 900 * kMs, 910 * kMs, End::kError);
--- a/tests/carrier_test.cpp
+++ b/tests/carrier_test.cpp
@@ -8,8 +8,8 @@
 namespace sablelink::test {
 namespace {
 
-using carrier::Reason;
-using carrier::Verdict;
+using carrier::CompletionReason;
+using carrier::RequestStatus;
 
 TEST(Carrier, HoldsAnAnswerBackUntilItIsWhole) {
   CarrierBench b;
@@ -17,49 +17,49 @@
   const RequestId id = b.take(client);
   FakeNodes::Sent* const sent = b.nodes.out(id);
   ASSERT_NE(sent, nullptr);
-  EXPECT_TRUE(b.carrier.attempt_message(sent->key, "schema"));
-  EXPECT_TRUE(b.carrier.attempt_message(sent->key, "batch"));
+  EXPECT_TRUE(b.carrier.on_attempt_message(sent->key, "schema"));
+  EXPECT_TRUE(b.carrier.on_attempt_message(sent->key, "batch"));
   EXPECT_TRUE(client->messages.empty());
-  EXPECT_EQ(b.carrier.held_bytes(), 11u);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 11u);
   b.end(*sent, Outcome::kOk);
   ASSERT_EQ(client->messages.size(), 2u);
   ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].verdict, Verdict::kServed);
-  EXPECT_EQ(b.carrier.open(), 0u);
-  EXPECT_EQ(b.carrier.entries(), 0u);
-  b.carrier.consumed(id, 11);
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
+  EXPECT_EQ(client->answers[0].status, RequestStatus::kServed);
+  EXPECT_EQ(b.carrier.open_requests(), 0u);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
+  b.carrier.on_response_consumed(id, 11);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
 }
 
 TEST(Carrier, AnswerHeldBackOfAFailedAttemptIsNeverSeen) {
   CarrierBench b;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
-  b.carrier.attempt_message(b.nodes.out(id)->key, "half of an answer");
+  b.carrier.on_attempt_message(b.nodes.out(id)->key, "half of an answer");
   b.end(*b.nodes.out(id), Outcome::kReset);
   ASSERT_EQ(b.nodes.count(id), 2);
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
-  b.carrier.attempt_message(b.nodes.out(id)->key, "whole");
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
+  b.carrier.on_attempt_message(b.nodes.out(id)->key, "whole");
   b.end(*b.nodes.out(id), Outcome::kOk);
   ASSERT_EQ(client->messages, std::vector<std::string>{"whole"});
   EXPECT_EQ(client->answers.at(0).attempts, 2);
 }
 
 TEST(Carrier, PastTheBoundAnAnswerFlowsAndIsNotTriedAgain) {
-  carrier::CarrierLimits limits;
-  limits.hold_bytes = 10;
+  carrier::DispatcherLimits limits;
+  limits.response_buffer_bytes = 10;
   CarrierBench b(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
   FakeNodes::Sent* const sent = b.nodes.out(id);
-  b.carrier.attempt_message(sent->key, "0123456");
+  b.carrier.on_attempt_message(sent->key, "0123456");
   EXPECT_TRUE(client->messages.empty());
-  b.carrier.attempt_message(sent->key, "789abc");
+  b.carrier.on_attempt_message(sent->key, "789abc");
   EXPECT_EQ(client->messages.size(), 2u);
   b.end(*sent, Outcome::kReset);
   ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].verdict, Verdict::kFailed);
-  EXPECT_EQ(client->answers[0].reason, Reason::kStreamBroken);
+  EXPECT_EQ(client->answers[0].status, RequestStatus::kFailed);
+  EXPECT_EQ(client->answers[0].reason, CompletionReason::kStreamInterrupted);
   b.clock.run_for(2 * kSecond);
   EXPECT_EQ(b.nodes.count(id), 1);
 }
@@ -70,16 +70,16 @@
   const RequestId id = b.take(client, 0);
   EXPECT_EQ(b.nodes.count(id), 0);
   ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].verdict, Verdict::kRefused);
-  EXPECT_EQ(client->answers[0].reason, Reason::kOverdue);
-  EXPECT_EQ(b.carrier.entries(), 0u);
+  EXPECT_EQ(client->answers[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(client->answers[0].reason, CompletionReason::kDeadlineExceeded);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
 }
 
 // It waits for its key's turn, so shortly that the module's own check comes later: nothing ran, and its
 // client may know.
 TEST(Carrier, WhatWasNeverSentIsRefusedWhenItsTimeIsUp) {
   Settings s = plain_settings();
-  s.classes[0].in_order = true;
+  s.classes[0].ordered_by_key = true;
   CarrierBench b(s);
   b.take(std::make_shared<FakeClient>(), kSecond, 0, 5);
   const auto client = std::make_shared<FakeClient>();
@@ -87,98 +87,98 @@
   EXPECT_TRUE(client->answers.empty());
   b.clock.run_for(kMs);
   ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].verdict, Verdict::kRefused);
-  EXPECT_EQ(client->answers[0].reason, Reason::kOverdue);
+  EXPECT_EQ(client->answers[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(client->answers[0].reason, CompletionReason::kDeadlineExceeded);
 }
 
 TEST(Carrier, AFlowingAnswerOutlivesTheDeadline) {
-  carrier::CarrierLimits limits;
-  limits.hold_bytes = 10;
+  carrier::DispatcherLimits limits;
+  limits.response_buffer_bytes = 10;
   CarrierBench b(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client, kSecond);
-  b.carrier.attempt_message(b.nodes.out(id)->key, "a long answer begins");
+  b.carrier.on_attempt_message(b.nodes.out(id)->key, "a long answer begins");
   b.clock.run_for(3 * kSecond);
   EXPECT_TRUE(client->answers.empty());
   b.end(*b.nodes.out(id), Outcome::kOk);
-  EXPECT_EQ(client->answers.at(0).verdict, Verdict::kServed);
+  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kServed);
 }
 
 TEST(Carrier, ASlowReaderHoldsBackItsOwnQueryOnly) {
-  carrier::CarrierLimits limits;
-  limits.hold_bytes = 4;
-  limits.window_bytes = 100;
+  carrier::DispatcherLimits limits;
+  limits.response_buffer_bytes = 4;
+  limits.stream_window_bytes = 100;
   CarrierBench b(plain_settings(), limits);
   const auto slow = std::make_shared<FakeClient>(), fast = std::make_shared<FakeClient>();
   const RequestId a = b.take(slow), c = b.take(fast);
-  const carrier::AttemptKey key = b.nodes.out(a)->key;
-  EXPECT_TRUE(b.carrier.attempt_message(key, std::string(60, 'x')));
-  EXPECT_FALSE(b.carrier.attempt_message(key, std::string(60, 'x')));  // 120 unread: past the window
-  EXPECT_TRUE(b.carrier.attempt_message(b.nodes.out(c)->key, std::string(60, 'x')));
-  b.carrier.consumed(a, 60);
+  const carrier::AttemptId key = b.nodes.out(a)->key;
+  EXPECT_TRUE(b.carrier.on_attempt_message(key, std::string(60, 'x')));
+  EXPECT_FALSE(b.carrier.on_attempt_message(key, std::string(60, 'x')));  // 120 unread: past the window
+  EXPECT_TRUE(b.carrier.on_attempt_message(b.nodes.out(c)->key, std::string(60, 'x')));
+  b.carrier.on_response_consumed(a, 60);
   EXPECT_EQ(b.nodes.resumes, 0);  // 60 left, over half of the window
-  b.carrier.consumed(a, 30);
+  b.carrier.on_response_consumed(a, 30);
   EXPECT_EQ(b.nodes.resumes, 1);
 }
 
 TEST(Carrier, BytesOfAllAnswersTogetherAreBounded) {
-  carrier::CarrierLimits limits;
-  limits.hold_bytes = 1000;
-  limits.hold_bytes_all = 1500;
+  carrier::DispatcherLimits limits;
+  limits.response_buffer_bytes = 1000;
+  limits.total_buffer_bytes = 1500;
   CarrierBench b(plain_settings(), limits);
   const auto one = std::make_shared<FakeClient>(), two = std::make_shared<FakeClient>();
   const RequestId a = b.take(one), c = b.take(two);
-  b.carrier.attempt_message(b.nodes.out(a)->key, std::string(900, 'x'));
+  b.carrier.on_attempt_message(b.nodes.out(a)->key, std::string(900, 'x'));
   EXPECT_TRUE(two->messages.empty());
-  b.carrier.attempt_message(b.nodes.out(c)->key, std::string(700, 'x'));
+  b.carrier.on_attempt_message(b.nodes.out(c)->key, std::string(700, 'x'));
   EXPECT_EQ(two->messages.size(), 1u);  // flows before its own bound
-  b.carrier.client_left(c);
-  EXPECT_EQ(b.carrier.held_bytes(), 900u);
-  b.carrier.client_left(a);
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
+  b.carrier.on_client_disconnected(c);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 900u);
+  b.carrier.on_client_disconnected(a);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
 }
 
 TEST(Carrier, WhatIsUnreadOfAFinishedAnswerIsForgottenWithItsClient) {
   CarrierBench b;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
-  b.carrier.attempt_message(b.nodes.out(id)->key, "answer");
+  b.carrier.on_attempt_message(b.nodes.out(id)->key, "answer");
   b.end(*b.nodes.out(id), Outcome::kOk);
-  EXPECT_EQ(b.carrier.held_bytes(), 6u);
-  b.carrier.client_left(id);
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
-  b.carrier.consumed(id, 6);  // late, and of nobody
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 6u);
+  b.carrier.on_client_disconnected(id);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
+  b.carrier.on_response_consumed(id, 6);  // late, and of nobody
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
 }
 
 TEST(Carrier, AClientThatLeavesGetsNothingMoreAndItsAttemptIsDropped) {
   CarrierBench b;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
-  const carrier::AttemptKey key = b.nodes.out(id)->key;
-  b.carrier.client_left(id);
+  const carrier::AttemptId key = b.nodes.out(id)->key;
+  b.carrier.on_client_disconnected(id);
   EXPECT_TRUE(b.nodes.find(key)->dropped);
-  EXPECT_EQ(b.carrier.open(), 0u);
-  EXPECT_EQ(b.carrier.entries(), 0u);
-  b.carrier.attempt_message(key, "late");
-  b.carrier.attempt_ended(key, {});
+  EXPECT_EQ(b.carrier.open_requests(), 0u);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
+  b.carrier.on_attempt_message(key, "late");
+  b.carrier.on_attempt_completed(key, {});
   EXPECT_TRUE(client->messages.empty());
   EXPECT_TRUE(client->answers.empty());
-  EXPECT_EQ(b.carrier.counts().left, 1u);
+  EXPECT_EQ(b.carrier.counters().disconnected, 1u);
 }
 
 TEST(Carrier, AClientThatLeavesAStreamEndsIt) {
-  carrier::CarrierLimits limits;
-  limits.hold_bytes = 2;
+  carrier::DispatcherLimits limits;
+  limits.response_buffer_bytes = 2;
   CarrierBench b(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
-  const carrier::AttemptKey key = b.nodes.out(id)->key;
-  b.carrier.attempt_message(key, "stream");
-  b.carrier.client_left(id);
+  const carrier::AttemptId key = b.nodes.out(id)->key;
+  b.carrier.on_attempt_message(key, "stream");
+  b.carrier.on_client_disconnected(id);
   EXPECT_TRUE(b.nodes.find(key)->dropped);
-  EXPECT_EQ(b.carrier.entries(), 0u);
-  EXPECT_EQ(b.carrier.held_bytes(), 0u);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
+  EXPECT_EQ(b.carrier.buffered_bytes(), 0u);
 }
 
 TEST(Carrier, AStatementsOwnFaultIsAnsweredAsItIsAndNotTriedAgain) {
@@ -189,8 +189,8 @@
     ASSERT_NE(b.nodes.out(id), nullptr) << "an engine was taken out for wrong statements";
     b.end(*b.nodes.out(id), Outcome::kError, true);
     ASSERT_EQ(client->answers.size(), 1u);
-    EXPECT_EQ(client->answers[0].verdict, Verdict::kFailed);
-    EXPECT_EQ(client->answers[0].reason, Reason::kStatement);
+    EXPECT_EQ(client->answers[0].status, RequestStatus::kFailed);
+    EXPECT_EQ(client->answers[0].reason, CompletionReason::kStatementError);
     EXPECT_EQ(client->answers[0].error.message, "trouble");
     EXPECT_EQ(b.nodes.count(id), 1);
   }
@@ -203,10 +203,10 @@
   ASSERT_NE(b.nodes.out(id), nullptr);
   b.clock.run_for(kSecond);
   ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_NE(client->answers[0].verdict, Verdict::kServed);
-  EXPECT_EQ(b.carrier.open(), 0u);
+  EXPECT_NE(client->answers[0].status, RequestStatus::kServed);
+  EXPECT_EQ(b.carrier.open_requests(), 0u);
   b.clock.run_for(5 * kSecond);
-  EXPECT_EQ(b.carrier.entries(), 0u);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
   EXPECT_EQ(client->answers.size(), 1u);
 }
 
@@ -217,12 +217,12 @@
   b.clock.stall(10 * kSecond);
   b.clock.run_for(1);
   EXPECT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(b.carrier.open(), 0u);
+  EXPECT_EQ(b.carrier.open_requests(), 0u);
 }
 
 TEST(Carrier, RefusesAtOnceWhatIsPastItsBound) {
-  carrier::CarrierLimits limits;
-  limits.max_open = 2;
+  carrier::DispatcherLimits limits;
+  limits.max_open_requests = 2;
   CarrierBench b(plain_settings(), limits);
   const auto one = std::make_shared<FakeClient>(), two = std::make_shared<FakeClient>(),
              three = std::make_shared<FakeClient>();
@@ -230,8 +230,8 @@
   b.take(two);
   EXPECT_EQ(b.take(three), 0u);
   ASSERT_EQ(three->answers.size(), 1u);
-  EXPECT_EQ(three->answers[0].verdict, Verdict::kRefused);
-  EXPECT_EQ(three->answers[0].reason, Reason::kGatewayFull);
+  EXPECT_EQ(three->answers[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(three->answers[0].reason, CompletionReason::kGatewayOverloaded);
   b.end(*b.nodes.out(a), Outcome::kOk);
   EXPECT_NE(b.take(std::make_shared<FakeClient>()), 0u);
 }
@@ -241,13 +241,13 @@
   const auto old = std::make_shared<FakeClient>(), fresh = std::make_shared<FakeClient>();
   const RequestId id = b.take(old);
   bool idle = false;
-  b.carrier.stop([&] { idle = true; });
+  b.carrier.stop_accepting([&] { idle = true; });
   EXPECT_EQ(b.take(fresh), 0u);
-  EXPECT_EQ(fresh->answers.at(0).reason, Reason::kStopping);
+  EXPECT_EQ(fresh->answers.at(0).reason, CompletionReason::kShuttingDown);
   EXPECT_FALSE(idle);
   b.end(*b.nodes.out(id), Outcome::kOk);
   EXPECT_TRUE(idle);
-  EXPECT_EQ(old->answers.at(0).verdict, Verdict::kServed);
+  EXPECT_EQ(old->answers.at(0).status, RequestStatus::kServed);
 }
 
 TEST(Carrier, GivingUpAnswersWhatIsHeldAndRefusesWhatComes) {
@@ -255,19 +255,19 @@
   const auto held = std::make_shared<FakeClient>(), later = std::make_shared<FakeClient>();
   const RequestId id = b.take(held);
   ASSERT_NE(b.nodes.out(id), nullptr);
-  b.carrier.give_up();
+  b.carrier.cancel_in_flight();
   ASSERT_EQ(held->answers.size(), 1u);
   EXPECT_TRUE(b.nodes.find({id, 0})->dropped);
   b.take(later);
   ASSERT_EQ(later->answers.size(), 1u);
-  EXPECT_EQ(later->answers[0].reason, carrier::Reason::kStopping);
-  EXPECT_EQ(b.carrier.open(), 0u);
+  EXPECT_EQ(later->answers[0].reason, carrier::CompletionReason::kShuttingDown);
+  EXPECT_EQ(b.carrier.open_requests(), 0u);
 }
 
 // Its client is gone, though the end of its connection waits to be read: the attempt doesn't leave.
 TEST(Carrier, AnAttemptWhoseClientIsGoneMayNotLeave) {
   struct Gone : FakeClient {
-    bool gone() const override { return is_gone; }
+    bool is_client_disconnected() const override { return is_gone; }
     bool is_gone = false;
   };
   for (const bool gone : {false, true}) {
@@ -277,8 +277,8 @@
     FakeNodes::Sent* const sent = b.nodes.out(id);
     ASSERT_NE(sent, nullptr);
     client->is_gone = gone;
-    EXPECT_EQ(sent->order.may_leave(), !gone);
-    EXPECT_EQ(b.carrier.counts().left, gone ? 1u : 0u);
+    EXPECT_EQ(sent->order.still_valid(), !gone);
+    EXPECT_EQ(b.carrier.counters().disconnected, gone ? 1u : 0u);
     EXPECT_EQ(b.nodes.find({id, 0})->dropped, gone);
   }
 }
@@ -286,43 +286,43 @@
 TEST(Carrier, StoppingWithNothingHeldIsIdleAtOnce) {
   CarrierBench b;
   bool idle = false;
-  b.carrier.stop([&] { idle = true; });
+  b.carrier.stop_accepting([&] { idle = true; });
   EXPECT_TRUE(idle);
 }
 
 TEST(Carrier, AnUnsafeRequestThatMayHaveRunFailsAndIsNotSentAgain) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kFragile;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
   CarrierBench b(s);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
   b.end(*b.nodes.out(id), Outcome::kReset);
   b.clock.run_for(kSecond);
   EXPECT_EQ(b.nodes.count(id), 1);
-  EXPECT_EQ(client->answers.at(0).verdict, Verdict::kFailed);
+  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kFailed);
 }
 
 TEST(Carrier, AnUnsafeRequestThatProvablyNeverRanIsSentAgain) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kFragile;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
   CarrierBench b(s);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
   b.end(*b.nodes.out(id), Outcome::kConnectFailed);
   ASSERT_EQ(b.nodes.count(id), 2);
   b.end(*b.nodes.out(id), Outcome::kOk);
-  EXPECT_EQ(client->answers.at(0).verdict, Verdict::kServed);
+  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kServed);
 }
 
 TEST(Carrier, OneKeysRequestsRunInTurn) {
   Settings s = plain_settings();
-  s.classes[0].in_order = true;
-  s.turn_gap_us = 300 * kMs;
+  s.classes[0].ordered_by_key = true;
+  s.ordering_gap_us = 300 * kMs;
   CarrierBench b(s);
   const auto one = std::make_shared<FakeClient>(), two = std::make_shared<FakeClient>();
   const RequestId a = b.take(one, 5 * kSecond, 0, 9), c = b.take(two, 5 * kSecond, 0, 9);
   EXPECT_EQ(b.nodes.count(c), 0);
-  b.carrier.client_left(a);  // its attempt is cancelled and may still run: the key rests
+  b.carrier.on_client_disconnected(a);  // its attempt is cancelled and may still run: the key rests
   b.clock.run_for(200 * kMs);
   EXPECT_EQ(b.nodes.count(c), 0);
   b.clock.run_for(200 * kMs);
@@ -334,9 +334,9 @@
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = b.take(client);
   const EngineId first = b.nodes.out(id)->engine, other = 3 - first;
-  std::vector<EngineEntry> list{engine(1), engine(2)};
-  list[other - 1].state = EngineState::kDraining;
-  b.carrier.set_list(ListForm::kFull, list);
+  std::vector<Endpoint> list{engine(1), engine(2)};
+  list[other - 1].state = EndpointState::kDraining;
+  b.carrier.on_endpoints_changed(EndpointUpdateKind::kFull, list);
   b.end(*b.nodes.out(id), Outcome::kError);
   b.clock.run_for(kSecond);
   for (const FakeNodes::Sent& s : b.nodes.sent) EXPECT_NE(s.engine, other);
@@ -344,19 +344,20 @@
 
 TEST(Carrier, AProbeWithoutAnAnswerEndsByItself) {
   Settings s = plain_settings();
-  s.may_probe = true;
-  s.reports_in_probes = true;
-  carrier::CarrierLimits limits;
-  limits.probe_timeout_us = 300 * kMs;
+  s.health_checks_allowed = true;
+  s.load_reports_in_health_checks = true;
+  carrier::DispatcherLimits limits;
+  limits.health_check_timeout_us = 300 * kMs;
   CarrierBench b(s, limits);
   b.take(std::make_shared<FakeClient>(), 15 * kSecond, 1);
   ASSERT_EQ(b.nodes.probes.size(), 2u);
-  EXPECT_EQ(b.carrier.probes_out(), 2u);
-  b.carrier.probe_ended(b.nodes.probes[0].first, Outcome::kOk, std::nullopt);
-  EXPECT_EQ(b.carrier.probes_out(), 1u);
+  EXPECT_EQ(b.carrier.outstanding_health_checks(), 2u);
+  b.carrier.on_health_check_completed(b.nodes.probes[0].first, Outcome::kOk, std::nullopt);
+  EXPECT_EQ(b.carrier.outstanding_health_checks(), 1u);
   b.clock.run_for(kSecond);
-  EXPECT_EQ(b.carrier.probes_out(), 0u);
-  b.carrier.probe_ended(b.nodes.probes[1].first, Outcome::kOk, std::nullopt);  // late: of nobody
+  EXPECT_EQ(b.carrier.outstanding_health_checks(), 0u);
+  b.carrier.on_health_check_completed(b.nodes.probes[1].first, Outcome::kOk,
+                                      std::nullopt);  // late: of nobody
 }
 
 TEST(Carrier, TimersDoNotPileUp) {
@@ -368,7 +369,7 @@
     b.clock.run_for(kMs);
     b.nodes.sent.clear();
   }
-  EXPECT_EQ(b.carrier.entries(), 0u);
+  EXPECT_EQ(b.carrier.tracked_requests(), 0u);
   EXPECT_LE(b.clock.pending(), 8u);
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -35,42 +35,42 @@
 TEST(Codec, ReadsARequest) {
   const std::string bytes =
       from_hex("c4913a5d 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 0000c043 00003041 01");
-  WireReader in(bytes);
+  FrameReader in(bytes);
   const QueryRequest r = read_request(in);
   EXPECT_TRUE(in.empty());
   EXPECT_EQ(r.id, 0x5d3a91c4u);
-  EXPECT_EQ(r.cls, 0);
+  EXPECT_EQ(r.class_index, 0);
   EXPECT_EQ(r.key, 0x91f03b7c55d20a64ull);
-  EXPECT_EQ(r.due_us, 0x8405da);
-  EXPECT_DOUBLE_EQ(r.cost_us.value(), 12000);
-  EXPECT_DOUBLE_EQ(r.need_mb, 384);
+  EXPECT_EQ(r.deadline, 0x8405da);
+  EXPECT_DOUBLE_EQ(r.estimated_cost_us.value(), 12000);
+  EXPECT_DOUBLE_EQ(r.estimated_memory_mb, 384);
   EXPECT_EQ(r.table_group, 11);
-  EXPECT_FALSE(r.client_repeat);
+  EXPECT_FALSE(r.is_client_retry);
 }
 
 TEST(Codec, ReadsAnOutcomeWithCostAndReport) {
   const std::string bytes =
       from_hex("c4913a5d 00 0a124a07 8b13 6400 44480000 01 60100100 04 0000e040 00004040 cdcccc3e 0000a03f");
-  WireReader in(bytes);
-  const AttemptEnd e = read_attempt_end(in, true, {"concurrent", "depth", "x0", "x1"});
+  FrameReader in(bytes);
+  const AttemptCompletion e = read_attempt_end(in, true, {"concurrent", "depth", "x0", "x1"});
   EXPECT_TRUE(in.empty());
   EXPECT_EQ(e.engine, kNode);
   EXPECT_EQ(e.outcome, Outcome::kOk);
-  EXPECT_EQ(e.took_us, 18500);
-  EXPECT_TRUE(e.request_over);
+  EXPECT_EQ(e.duration_us, 18500);
+  EXPECT_TRUE(e.request_finished);
   EXPECT_DOUBLE_EQ(e.work_us.value(), 17000);
-  EXPECT_DOUBLE_EQ(e.used_mb.value(), 384);
-  EXPECT_DOUBLE_EQ(e.report->held.value(), 7);
-  EXPECT_DOUBLE_EQ(e.report->waiting.value(), 3);
-  EXPECT_NEAR(e.report->memory_share.value(), 0.4, 1e-6);
-  EXPECT_FALSE(e.report->cpu_share.has_value());
+  EXPECT_DOUBLE_EQ(e.memory_used_mb.value(), 384);
+  EXPECT_DOUBLE_EQ(e.load_report->in_flight.value(), 7);
+  EXPECT_DOUBLE_EQ(e.load_report->waiting_for_memory.value(), 3);
+  EXPECT_NEAR(e.load_report->memory_utilization.value(), 0.4, 1e-6);
+  EXPECT_FALSE(e.load_report->cpu_utilization.has_value());
 }
 
 TEST(Codec, ReadsAProgressNote) {
   const std::string bytes = from_hex("c4913a5d 00 0a124a07 8b13 01 0000003f");
-  WireReader in(bytes);
-  const ProgressNote n = read_progress(in);
-  EXPECT_EQ(n.kind, NoteKind::kProgress);
+  FrameReader in(bytes);
+  const ProgressUpdate n = read_progress(in);
+  EXPECT_EQ(n.kind, ProgressKind::kProgress);
   EXPECT_EQ(n.engine, kNode);
   EXPECT_DOUBLE_EQ(n.value, 0.5);
 }
@@ -79,20 +79,20 @@
   const std::string bytes = from_hex(
       "02000000 0000 01 0a124a07 8b13 0000803f 0000 0000000000000000 0000 "
       "0000 01 0a9011f2 b413 0000c03f 0100 20145d0000000000 0000");
-  WireReader in(bytes);
+  FrameReader in(bytes);
   const auto entries = read_entries(in);
   ASSERT_EQ(entries.size(), 2u);
   EXPECT_EQ(entries[0].engine, kNode);
-  EXPECT_EQ(entries[0].started_us, 0);
+  EXPECT_EQ(entries[0].started_at, 0);
   EXPECT_DOUBLE_EQ(entries[1].size, 1.5);
   EXPECT_EQ(entries[1].zone, 1);
-  EXPECT_EQ(entries[1].started_us, 0x5d1420);
+  EXPECT_EQ(entries[1].started_at, 0x5d1420);
 }
 
 TEST(Codec, WritesActionsUnderTheirInstance) {
-  ReplyWriter out;
+  FrameWriter out;
   out.act_for(3);
-  out.send(0x5d3a91c4, kNode, 0x013880);
+  out.send_attempt(0x5d3a91c4, kNode, 0x013880);
   out.set_timer(0x07a120, 0x4d);
   out.act_for(5);
   out.log("two servers known");
@@ -103,10 +103,10 @@
 }
 
 TEST(Codec, WritesTermsAndMessages) {
-  ReplyWriter out;
+  FrameWriter out;
   out.act_for(3);
-  out.set_terms(0x5d3a91c4, 2, 640);
-  out.tell_peer(kAllPeers, "h i7");
+  out.set_execution_hints(0x5d3a91c4, 2, 640);
+  out.send_gossip(kAllGateways, "h i7");
   EXPECT_EQ(out.take_frame(), from_hex("18000000 06 0300 02 c4913a5d 02 00002044 0e ffffffff 0400 68206937"));
 }
 
@@ -120,7 +120,7 @@
 const char kEnv[] = "Services.count=1\nServices.0.AimUs=1000000\nServices.0.DeadlineUs=5000000\n";
 
 TEST(Host, RunsAnInstanceFromItsSettings) {
-  Host host;
+  SimulatorHost host;
   const std::string reply = host.handle(
       0x805c5a, from_hex("04000000") + open_record(kEnv) +
                     from_hex("0c 00 01000000 0000 01 0a124a07 8b13 0000803f 0000 0000000000000000 0000 "
@@ -133,20 +133,20 @@
 }
 
 TEST(Host, EventsOfAStoppedInstanceArePassedOver) {
-  Host host;
+  SimulatorHost host;
   host.handle(1, from_hex("03000000") + open_record(kEnv) + from_hex("0a"));
   EXPECT_EQ(host.handle(2, from_hex("02000000 0d 0300 07 01000000")), from_hex("00000000"));
 }
 
 TEST(Host, MalformedInputIsAPlainError) {
-  Host host;
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 03")), WireError) << "truncated";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 0300 ff")), WireError) << "too long";
-  EXPECT_THROW(host.handle(1, from_hex("02000000 0d 0300 63")), WireError) << "unknown code";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 07 01000000")), WireError) << "no instance named";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 10 00000000")), WireError) << "ledger out of range";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 00 ffffffff")), WireError) << "entries missing";
-  EXPECT_THROW(read_header(from_hex("5a5c800000000000 03000000")), WireError);
+  SimulatorHost host;
+  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 03")), ProtocolError) << "truncated";
+  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 0300 ff")), ProtocolError) << "too long";
+  EXPECT_THROW(host.handle(1, from_hex("02000000 0d 0300 63")), ProtocolError) << "unknown code";
+  EXPECT_THROW(host.handle(1, from_hex("01000000 07 01000000")), ProtocolError) << "no instance named";
+  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 10 00000000")), ProtocolError) << "ledger out of range";
+  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 00 ffffffff")), ProtocolError) << "entries missing";
+  EXPECT_THROW(read_header(from_hex("5a5c800000000000 03000000")), ProtocolError);
 }
 
 }  // namespace
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -82,17 +82,17 @@
   const GatewayConfig c = parse_gateway_config(kGood, "desk.toml");
   EXPECT_EQ(c.name, "desk-1");
   EXPECT_EQ(c.settings.zone, 1);
-  EXPECT_EQ(c.settings.instances, 3);
-  EXPECT_EQ(c.carrier.max_open, 50u);
-  EXPECT_EQ(c.carrier.hold_bytes, 65536u);
+  EXPECT_EQ(c.settings.gateway_count, 3);
+  EXPECT_EQ(c.dispatcher.max_open_requests, 50u);
+  EXPECT_EQ(c.dispatcher.response_buffer_bytes, 65536u);
   EXPECT_EQ(c.settings.drain_grace_us, 500'000);
-  EXPECT_TRUE(c.settings.attempts_rationed);
-  EXPECT_EQ(c.settings.kind_cores, std::vector<double>{8});
-  EXPECT_EQ(c.settings.kind_memory_mb, std::vector<double>{16384});
-  EXPECT_EQ(c.settings.classes.at(0).deadline_us, 7'500'000);
-  EXPECT_EQ(c.settings.classes.at(1).repeat, Repeat::kFragile);
-  EXPECT_EQ(c.settings.classes.at(1).only_zones, std::vector<int>{0});
-  EXPECT_EQ(c.nodes.at(1).state, EngineState::kDraining);
+  EXPECT_TRUE(c.settings.retry_budget_enabled);
+  EXPECT_EQ(c.settings.engine_type_cores, std::vector<double>{8});
+  EXPECT_EQ(c.settings.engine_type_memory_mb, std::vector<double>{16384});
+  EXPECT_EQ(c.settings.classes.at(0).request_timeout_us, 7'500'000);
+  EXPECT_EQ(c.settings.classes.at(1).idempotency, Idempotency::kNotIdempotent);
+  EXPECT_EQ(c.settings.classes.at(1).allowed_zones, std::vector<int>{0});
+  EXPECT_EQ(c.engines.at(1).state, EndpointState::kDraining);
 }
 
 std::string error_of(std::string text, const std::string& from = "", const std::string& to = "") {
@@ -205,21 +205,21 @@
 }
 
 TEST(Directory, KeepsIdsAndNeverGivesThemTwice) {
-  membership::Directory d;
-  NodeConfig a, b;
+  membership::EndpointRegistry d;
+  EngineConfig a, b;
   a.name = "a";
   a.address = "h:1";
   b.name = "b";
   b.address = "h:2";
   d.replace({a, b});
-  const EngineId first = d.entries()[0].engine;
+  const EngineId first = d.endpoints()[0].engine;
   d.replace({b});
-  EXPECT_EQ(d.entries().size(), 1u);
+  EXPECT_EQ(d.endpoints().size(), 1u);
   EXPECT_EQ(d.address(first), "h:1");
   a.address = "h:3";
   d.replace({a, b});
-  EXPECT_NE(d.entries()[0].engine, first);
-  EXPECT_EQ(d.address(d.entries()[0].engine), "h:3");
+  EXPECT_NE(d.endpoints()[0].engine, first);
+  EXPECT_EQ(d.address(d.endpoints()[0].engine), "h:3");
   EXPECT_EQ(d.address(99), "");
 }
 
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -68,7 +68,7 @@
   EXPECT_EQ(e.admit(0, a), Admission::kRunning);
   EXPECT_EQ(e.admit(0, b), Admission::kWaiting);
   EXPECT_EQ(e.admit(0, c), Admission::kWaiting);
-  EXPECT_EQ(e.report().waiting, 2);
+  EXPECT_EQ(e.report().waiting_for_memory, 2);
   const auto ends = run(e, 0);
   EXPECT_LT(ends.at(1), ends.at(3));
   EXPECT_LT(ends.at(3), ends.at(2));
@@ -151,7 +151,7 @@
   small.memory_mb = 500;
   EXPECT_EQ(e.admit(0, small), Admission::kWaiting);
   EXPECT_EQ(run(e, 0), (std::map<uint64_t, TimeUs>{{1, 100 * kMs}, {2, 200 * kMs}}));
-  EXPECT_EQ(e.report().memory_share, 0);
+  EXPECT_EQ(e.report().memory_utilization, 0);
   e.set_memory(200 * kMs, 16'384);
   large.id = 3;
   EXPECT_EQ(e.admit(200 * kMs, large), Admission::kRunning);
--- a/tests/flightsql_test.cpp
+++ b/tests/flightsql_test.cpp
@@ -16,8 +16,8 @@
 namespace sablelink::flightsql {
 namespace {
 
-using carrier::Reason;
-using carrier::Verdict;
+using carrier::CompletionReason;
+using carrier::RequestStatus;
 
 // An engine may tell one schema in two encodings, as in a plan and in an answer.
 TEST(Columns, AreTheSameHoweverTheyAreWritten) {
@@ -126,26 +126,26 @@
 TEST(Reports, ComeBackAsTheyWere) {
   NodeReport r;
   r.load.emplace();
-  r.load->held = 3;
-  r.load->waiting = 0;
-  r.load->cpu_share = 0.5;
-  r.load->memory_share = 0;
-  r.load->disk_share = 0.25;
+  r.load->in_flight = 3;
+  r.load->waiting_for_memory = 0;
+  r.load->cpu_utilization = 0.5;
+  r.load->memory_utilization = 0;
+  r.load->disk_utilization = 0.25;
   r.work_us = 2000;
   r.used_mb = 64;
   const NodeReport back = decode_report(encode_report(r));
   ASSERT_TRUE(back.load);
-  EXPECT_EQ(back.load->held, 3);
-  EXPECT_EQ(back.load->waiting, 0);
-  EXPECT_EQ(back.load->cpu_share, 0.5);
-  EXPECT_EQ(back.load->memory_share, 0);
-  EXPECT_EQ(back.load->disk_share, 0.25);
+  EXPECT_EQ(back.load->in_flight, 3);
+  EXPECT_EQ(back.load->waiting_for_memory, 0);
+  EXPECT_EQ(back.load->cpu_utilization, 0.5);
+  EXPECT_EQ(back.load->memory_utilization, 0);
+  EXPECT_EQ(back.load->disk_utilization, 0.25);
   EXPECT_EQ(back.work_us, 2000);
   EXPECT_EQ(back.used_mb, 64);
-  r.load->held = 1 / 0.0;
-  r.load->disk_share = -1;
-  EXPECT_FALSE(decode_report(encode_report(r)).load->held);
-  EXPECT_FALSE(decode_report(encode_report(r)).load->disk_share);
+  r.load->in_flight = 1 / 0.0;
+  r.load->disk_utilization = -1;
+  EXPECT_FALSE(decode_report(encode_report(r)).load->in_flight);
+  EXPECT_FALSE(decode_report(encode_report(r)).load->disk_utilization);
   EXPECT_FALSE(decode_report("no report").load);
   EXPECT_FALSE(decode_report("").load);
 }
@@ -168,11 +168,11 @@
   EXPECT_EQ(map_call_end(ended(Code::kDeadlineExceeded, true)).outcome, Outcome::kTimeout);
   EXPECT_EQ(map_call_end(ended(Code::kInternal, true)).outcome, Outcome::kError);
   const rpc::Status told = make_error(Code::kResourceExhausted, "draining", kNodeDomain, kNotAdmitted);
-  EXPECT_EQ(map_call_end(ended(Code::kResourceExhausted, true, told)).outcome, Outcome::kFull);
+  EXPECT_EQ(map_call_end(ended(Code::kResourceExhausted, true, told)).outcome, Outcome::kOverloaded);
   const rpc::Status other = make_error(Code::kResourceExhausted, "draining", "some.proxy", kNotAdmitted);
   EXPECT_EQ(map_call_end(ended(Code::kResourceExhausted, true, other)).outcome, Outcome::kError);
-  EXPECT_TRUE(map_call_end(ended(Code::kInvalidArgument, true)).statement_fault);
-  EXPECT_FALSE(map_call_end(ended(Code::kInternal, true)).statement_fault);
+  EXPECT_TRUE(map_call_end(ended(Code::kInvalidArgument, true)).is_statement_error);
+  EXPECT_FALSE(map_call_end(ended(Code::kInternal, true)).is_statement_error);
 }
 
 TEST(FinalAnswers, LeaveBeforeTheClientsTimeIsUp) {
@@ -184,7 +184,7 @@
 }
 
 TEST(FinalAnswers, PromiseOnlyWhatIsTrue) {
-  carrier::FinalAnswer refused{Verdict::kRefused, Reason::kDecided, 250'500, 1, {}};
+  carrier::FinalResponse refused{RequestStatus::kRejected, CompletionReason::kPolicyDecision, 250'500, 1, {}};
   const ClientEnd r = map_final_answer(refused);
   EXPECT_EQ(r.status.code, rpc::Code::kUnavailable);
   EXPECT_EQ(read_details(r.status).retry_after_us, 250'500);
@@ -193,11 +193,13 @@
   refused.retry_after_us = 0;
   EXPECT_FALSE(read_details(map_final_answer(refused).status).retry_after_us);
   EXPECT_EQ(rpc::find_value(map_final_answer(refused).trailers, kPushbackKey), "");
-  const carrier::FinalAnswer failed{Verdict::kFailed, Reason::kDecided, 0, 2, {13, "disk on fire"}};
+  const carrier::FinalResponse failed{
+      RequestStatus::kFailed, CompletionReason::kPolicyDecision, 0, 2, {13, "disk on fire"}};
   const ClientEnd f = map_final_answer(failed);
   EXPECT_EQ(f.status.code, rpc::Code::kUnknown);
   EXPECT_NE(f.status.message.find("disk on fire"), std::string::npos);
-  const carrier::FinalAnswer wrong{Verdict::kFailed, Reason::kStatement, 0, 1, {3, "no such column"}};
+  const carrier::FinalResponse wrong{
+      RequestStatus::kFailed, CompletionReason::kStatementError, 0, 1, {3, "no such column"}};
   EXPECT_EQ(map_final_answer(wrong).status.code, rpc::Code::kInvalidArgument);
   EXPECT_EQ(map_final_answer(wrong).status.message, "no such column");
   EXPECT_TRUE(map_final_answer({}).status.ok());
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -229,12 +229,12 @@
   };
   const auto request = [&](const http::Request& r) {
     check(r.body.size() <= 256, "a body passes its limit");
-    platform::FrontOptions options;
+    platform::HttpServerOptions options;
     options.classes = {"lookup"};
-    options.patience_us = {5'000'000};
-    const platform::Call call = platform::read_call(r, options);
+    options.max_timeout_us = {5'000'000};
+    const platform::ClientRequest call = platform::parse_client_request(r, options);
     if (call.status == 0)
-      check(call.id.size() == 16 && call.patience_us > 0 && call.patience_us <= 6'000'000,
+      check(call.id.size() == 16 && call.timeout_us > 0 && call.timeout_us <= 6'000'000,
             "a wrong call is taken");
     return r.method + " " + r.target + " " + fields(r.fields) + r.body + (r.keep_alive ? "+" : "-");
   };
@@ -252,12 +252,13 @@
 
 void change_log_target(const std::string& bytes) {
   std::string whole, pieces;
-  platform::ChangeSequence a(3, {}), b(3, {});
-  bool good = a.feed(bytes, [&](const platform::ChangeEvent& e) { whole += std::to_string(e.seq) + ","; });
+  platform::ChangeLogReader a(3, {}), b(3, {});
+  bool good = a.feed(
+      bytes, [&](const platform::ChangeEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
   bool also = true;
   for (size_t i = 0; also && i < bytes.size(); ++i)
     also = b.feed(bytes.substr(i, 1),
-                  [&](const platform::ChangeEvent& e) { pieces += std::to_string(e.seq) + ","; });
+                  [&](const platform::ChangeEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
   check(good == also && whole == pieces && a.last() == b.last(), "events differ by their pieces");
 }
 
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -22,28 +22,30 @@
   double amount = 0;  // grant
 };
 
-class Bench : public Actions {
+class Bench : public WorkloadManagerDelegate {
  public:
   explicit Bench(Settings settings, TimeUs now = 100 * kSecond, uint64_t seed = 42)
       : now_(now), gateway_(std::move(settings), seed) {
     gateway_.on_start(now_, *this);
   }
 
-  void set_terms(RequestId id, int priority, double grant) override {
+  void set_execution_hints(RequestId id, int priority, double grant) override {
     add({Action::kTerms, now_, id, 0, double(priority), grant});
   }
-  void send(RequestId id, EngineId engine, TimeUs timeout) override {
+  void send_attempt(RequestId id, EngineId engine, TimeUs timeout) override {
     add({Action::kSend, now_, id, engine, double(timeout), 0});
   }
-  void cancel(RequestId id, int attempt) override { add({Action::kCancel, now_, id, 0, double(attempt), 0}); }
-  void refuse(RequestId id, TimeUs after) override { add({Action::kRefuse, now_, id, 0, double(after), 0}); }
+  void cancel_attempt(RequestId id, int attempt) override {
+    add({Action::kCancel, now_, id, 0, double(attempt), 0});
+  }
+  void reject(RequestId id, TimeUs after) override { add({Action::kRefuse, now_, id, 0, double(after), 0}); }
   void fail(RequestId id) override { add({Action::kFail, now_, id, 0, 0, 0}); }
   void set_timer(TimeUs delay, uint32_t token) override { timers_.emplace_back(now_ + delay, token); }
-  void subscribe(bool on) override { add({Action::kSubscribe, now_, 0, 0, double(on), 0}); }
-  void fetch_list() override { add({Action::kOther, now_, 0, 0, 0, 0}); }
-  void probe(EngineId engine) override { add({Action::kProbe, now_, 0, engine, 0, 0}); }
-  void close_idle(EngineId engine) override { add({Action::kOther, now_, 0, engine, 0, 0}); }
-  void tell_peer(uint32_t, std::string_view) override { add({Action::kOther, now_, 0, 0, 0, 0}); }
+  void watch_endpoints(bool on) override { add({Action::kSubscribe, now_, 0, 0, double(on), 0}); }
+  void fetch_endpoints() override { add({Action::kOther, now_, 0, 0, 0, 0}); }
+  void check_health(EngineId engine) override { add({Action::kProbe, now_, 0, engine, 0, 0}); }
+  void close_idle_connections(EngineId engine) override { add({Action::kOther, now_, 0, engine, 0, 0}); }
+  void send_gossip(uint32_t, std::string_view) override { add({Action::kOther, now_, 0, 0, 0, 0}); }
   void log(std::string_view line) override { logs.emplace_back(line); }
 
   // Moves the clock on, firing timers in 5 ms steps.
@@ -64,16 +66,16 @@
   void stall(TimeUs span) { now_ += span; }
   TimeUs now() const { return now_; }
 
-  void list(const std::vector<EngineEntry>& entries, ListForm form = ListForm::kFull) {
-    gateway_.on_list(now_, form, entries, *this);
+  void list(const std::vector<Endpoint>& entries, EndpointUpdateKind form = EndpointUpdateKind::kFull) {
+    gateway_.on_endpoints_changed(now_, form, entries, *this);
   }
   void request(RequestId id, int cls, TimeUs patience, double cost_us = -1, int64_t group = -1,
                uint64_t key = 0) {
     QueryRequest r;
     r.id = id;
-    r.cls = cls;
-    r.due_us = now_ + patience;
-    if (cost_us >= 0) r.cost_us = cost_us;
+    r.class_index = cls;
+    r.deadline = now_ + patience;
+    if (cost_us >= 0) r.estimated_cost_us = cost_us;
     r.table_group = group;
     r.key = key;
     gateway_.on_request(now_, r, *this);
@@ -81,7 +83,7 @@
   // Ends the request's latest attempt. A negative held sends no load report.
   void end(RequestId id, Outcome outcome, double work_us = -1, double held = -1) {
     LoadReport report;
-    report.held = held;
+    report.in_flight = held;
     end(id, outcome, work_us, held >= 0 ? std::optional(report) : std::nullopt);
   }
   void end(RequestId id, Outcome outcome, double work_us, const std::optional<LoadReport>& report) {
@@ -90,19 +92,19 @@
     for (const Action& a : actions) {
       if (a.kind == Action::kSend && a.id == id) sent = &a, ++attempt;
     }
-    AttemptEnd e;
+    AttemptCompletion e;
     e.id = id;
     e.attempt = attempt;
     e.engine = sent->engine;
     e.outcome = outcome;
-    e.took_us = now_ - sent->at;
-    e.request_over = outcome == Outcome::kOk || over(id);
+    e.duration_us = now_ - sent->at;
+    e.request_finished = outcome == Outcome::kOk || over(id);
     if (work_us >= 0) e.work_us = work_us;
-    e.report = report;
-    gateway_.on_attempt_end(now_, e, *this);
+    e.load_report = report;
+    gateway_.on_attempt_completed(now_, e, *this);
   }
-  void leave(RequestId id) { gateway_.on_client_left(now_, id, *this); }
-  Gateway& gateway() { return gateway_; }
+  void leave(RequestId id) { gateway_.on_client_disconnected(now_, id, *this); }
+  WorkloadManager& gateway() { return gateway_; }
 
   int count(Action::Kind kind, RequestId id) const {
     return int(std::count_if(actions.begin(), actions.end(),
@@ -134,7 +136,7 @@
 
   TimeUs now_;
   std::vector<std::pair<TimeUs, uint32_t>> timers_;
-  Gateway gateway_;
+  WorkloadManager gateway_;
 };
 
 // One gateway, engines of 8 cores; class 0 is short on one thread, class 1 long on four.
@@ -142,34 +144,34 @@
   Settings s;
   s.tick_us = 5 * kMs;
   s.classes.resize(2);
-  s.classes[0].aim_us = kSecond;
-  s.classes[0].aim_stretch = 2;
-  s.classes[0].deadline_us = 5 * kSecond;
-  s.classes[1].aim_us = 2 * kSecond;
-  s.classes[1].aim_stretch = 2.5;
-  s.classes[1].deadline_us = 15 * kSecond;
-  s.classes[1].worth = 5;
-  s.classes[1].late_worth = 0.4;
+  s.classes[0].latency_objective_us = kSecond;
+  s.classes[0].latency_objective_stretch = 2;
+  s.classes[0].request_timeout_us = 5 * kSecond;
+  s.classes[1].latency_objective_us = 2 * kSecond;
+  s.classes[1].latency_objective_stretch = 2.5;
+  s.classes[1].request_timeout_us = 15 * kSecond;
+  s.classes[1].priority_weight = 5;
+  s.classes[1].late_weight_fraction = 0.4;
   s.classes[1].threads = 4;
-  s.kind_cores = {8, 8};
-  s.kind_memory_mb = {16384, 16384};
-  s.tells_cost = true;
-  s.may_cancel = true;
+  s.engine_type_cores = {8, 8};
+  s.engine_type_memory_mb = {16384, 16384};
+  s.engines_report_cost = true;
+  s.cancellation_allowed = true;
   s.max_attempts = 6;
-  s.answer_slack_us = 20 * kMs;
-  s.cold_from = 0.35;
-  s.fall_multiple = 3;
-  s.fall_us = 1500 * kMs;
-  s.warm_after_us = 14 * kSecond;
+  s.response_slack_us = 20 * kMs;
+  s.slow_start_min_capacity_fraction = 0.35;
+  s.collapse_load_multiple = 3;
+  s.collapse_window_us = 1500 * kMs;
+  s.slow_start_duration_us = 14 * kSecond;
   return s;
 }
 
-inline EngineEntry engine(EngineId id, int zone = 0, int kind = 0, TimeUs started = 0, int cell = 0) {
-  EngineEntry e;
+inline Endpoint engine(EngineId id, int zone = 0, int kind = 0, TimeUs started = 0, int cell = 0) {
+  Endpoint e;
   e.engine = id;
   e.zone = zone;
-  e.kind = kind;
-  e.started_us = started;
+  e.engine_type = kind;
+  e.started_at = started;
   e.cell = cell;
   return e;
 }
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -21,7 +21,7 @@
 
 namespace sablelink::test {
 
-using carrier::Verdict;
+using carrier::RequestStatus;
 using flightsql::Client;
 using flightsql::ClientOptions;
 using flightsql::QueryResult;
@@ -128,14 +128,14 @@
   }
 
   service::NodeService& add_node(nodes::NodeConfig node = {}, int zone = 0) {
-    node.name = "n" + std::to_string(config_.nodes.size());
+    node.name = "n" + std::to_string(config_.engines.size());
     if (node.listen.empty()) node.listen = "127.0.0.1:0";
     nodes_.push_back(std::make_unique<service::NodeService>(node, system_, &recorder_, tables_));
-    config::NodeConfig entry;
+    config::EngineConfig entry;
     entry.name = node.name;
     entry.zone = zone;
     entry.address = "127.0.0.1:" + std::to_string(nodes_.back()->port());
-    config_.nodes.push_back(entry);
+    config_.engines.push_back(entry);
     return *nodes_.back();
   }
   void start() {
@@ -206,7 +206,9 @@
   }
   size_t open_requests() {
     size_t n = 0;
-    gateway_->inspect([&](const carrier::Carrier& c, const flightsql::Front&) { n = c.entries(); });
+    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+      n = c.tracked_requests();
+    });
     return n;
   }
 
@@ -217,8 +219,8 @@
     s.class_names = config_.class_names;
     s.rules = config_.settings;
     s.slack_us = 200 * kMs;  // tests may run on crowded machines
-    for (const config::NodeConfig& n : config_.nodes)
-      s.nodes.push_back({n.name, n.zone, n.kind, n.cell, 8, 1, 0});
+    for (const config::EngineConfig& n : config_.engines)
+      s.nodes.push_back({n.name, n.zone, n.engine_type, n.cell, 8, 1, 0});
     const std::lock_guard lock(mutex_);
     records_.nodes = recorder_.events();
     std::string found;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -9,7 +9,7 @@
   add_node();
   start();
   const QueryResult r = send("SELECT * FROM gallery /*+ rows=2500 */", "a", options(5 * kSecond)).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.rows, 2500);
   EXPECT_EQ(r.attempts, 1);
   EXPECT_EQ(r.reason, "answered");
@@ -23,7 +23,7 @@
   add_node();
   start();
   const QueryResult r = send("UPDATE gallery SET a = 1 /*+ rows=7 */", "a", options(5 * kSecond), true).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.updated, 7);
 }
 
@@ -33,10 +33,10 @@
   start();
   for (int i = 0; i < 20; ++i)  // what queries take is known by then
     ASSERT_EQ(send("SELECT 1 /*+ work=10ms */", "w" + std::to_string(i), options(5 * kSecond)).get().verdict,
-              Verdict::kServed);
+              RequestStatus::kServed);
   const QueryResult r =
       send("SELECT 1 /*+ work=10ms mishap=lost on_attempt=0 */", "lost", options(8 * kSecond)).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded, "lost") == 2; }));
   size_t done = 0;
@@ -53,7 +53,7 @@
   const QueryResult r = send("UPDATE gallery SET a = 1 /*+ work=40ms mishap=reset */", "u",
                              options(5 * kSecond, "unsafe"), true)
                             .get();
-  EXPECT_EQ(r.verdict, Verdict::kFailed);
+  EXPECT_EQ(r.verdict, RequestStatus::kFailed);
   EXPECT_EQ(r.status.code, Code::kUnknown);
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived, "u"), 1u);
   EXPECT_EQ(audited(), "");
@@ -65,7 +65,7 @@
   start();
   const QueryResult r =
       send("SELECT 1 /*+ work=40ms mishap=reset on_attempt=0 */", "s", options(5 * kSecond)).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
   EXPECT_EQ(audited(), "");
 }
@@ -77,7 +77,7 @@
   const QueryResult r = send("UPDATE gallery SET a = 1 /*+ mishap=refuse on_attempt=0 */", "u",
                              options(5 * kSecond, "unsafe"), true)
                             .get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
   EXPECT_EQ(audited(), "");
 }
@@ -104,10 +104,11 @@
   }));
   const size_t held = open_requests();
   EXPECT_GT(held, 0u);
-  gateway_->inspect(
-      [](const carrier::Carrier& c, const flightsql::Front&) { EXPECT_GT(c.counts().further_attempts, 0u); });
+  gateway_->inspect([](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+    EXPECT_GT(c.counters().retries, 0u);
+  });
   cancel_all();
-  for (auto& f : all) EXPECT_NE(f.get().verdict, Verdict::kServed);
+  for (auto& f : all) EXPECT_NE(f.get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] { return open_requests() == 0; }));
   EXPECT_TRUE(wait_for([&] {
     return recorder_.count(NodeEvent::Kind::kArrived) == recorder_.count(NodeEvent::Kind::kEnded);
@@ -116,8 +117,8 @@
 
 TEST_F(Loopback, AClientThatDisconnectsMidAnswerStopsItsQueryAlone) {
   add_node();
-  config_.carrier.hold_bytes = 1000;
-  config_.carrier.window_bytes = 64 << 10;
+  config_.dispatcher.response_buffer_bytes = 1000;
+  config_.dispatcher.stream_window_bytes = 64 << 10;
   start();
   auto leaver = open_client();
   std::atomic<int> batches{0};
@@ -134,13 +135,15 @@
   EXPECT_THROW(left.get(), std::runtime_error);
   leaver.reset();
   EXPECT_TRUE(wait_for([&] { return open_requests() == 0; }));
-  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, Verdict::kServed);
+  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] {
     return recorder_.count(NodeEvent::Kind::kArrived) == recorder_.count(NodeEvent::Kind::kEnded);
   }));
   size_t held = 1;
   EXPECT_TRUE(wait_for([&] {
-    gateway_->inspect([&](const carrier::Carrier& c, const flightsql::Front&) { held = c.held_bytes(); });
+    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+      held = c.buffered_bytes();
+    });
     return held == 0;
   }));
 }
@@ -157,14 +160,14 @@
     all.push_back(send("SELECT 1 /*+ work=5ms */", "h" + std::to_string(i), options(9 * kSecond)));
   for (auto& f : all) {
     const QueryResult r = f.get();
-    EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+    EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
   EXPECT_EQ(audited(), "");
 }
 
 TEST_F(Loopback, ARefusedPortIsProofThatNothingRan) {
   add_node();
-  config::NodeConfig closed;  // nobody listens there
+  config::EngineConfig closed;  // nobody listens there
   closed.name = "closed";
   {
     nodes::NodeConfig gone;
@@ -172,12 +175,12 @@
     service::NodeService ghost(gone, system_, nullptr);
     closed.address = "127.0.0.1:" + std::to_string(ghost.port());
   }
-  config_.nodes.push_back(closed);
+  config_.engines.push_back(closed);
   start();
   for (int i = 0; i < 20; ++i) {
     const QueryResult r =
         send("UPDATE gallery SET a = 1", "u" + std::to_string(i), options(5 * kSecond, "unsafe"), true).get();
-    EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+    EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
   EXPECT_EQ(audited(), "");
 }
@@ -188,7 +191,7 @@
   start();
   const QueryResult r =
       send("SELECT 1 /*+ rows=5000 mishap=break on_attempt=0 */", "b", options(5 * kSecond)).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
   EXPECT_EQ(r.rows, 5000);
 }
@@ -196,10 +199,10 @@
 TEST_F(Loopback, AStreamBrokenPastTheHeldPartFails) {
   add_node();
   add_node();
-  config_.carrier.hold_bytes = 1000;
+  config_.dispatcher.response_buffer_bytes = 1000;
   start();
   const QueryResult r = send("SELECT 1 /*+ rows=5000 mishap=break */", "b", options(5 * kSecond)).get();
-  EXPECT_EQ(r.verdict, Verdict::kFailed);
+  EXPECT_EQ(r.verdict, RequestStatus::kFailed);
   EXPECT_EQ(r.reason, "stream-broken");
   EXPECT_EQ(r.attempts, 1);
 }
@@ -216,7 +219,7 @@
                        i % 2 == 0 ? client_.get() : second.get()));
   for (auto& f : all) {
     const QueryResult r = f.get();
-    EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+    EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
   EXPECT_EQ(audited(), "");
   // Seen at the nodes: no two at once.
@@ -243,16 +246,16 @@
                        options(8 * kSecond)));
   sleep(30 * kMs);
   config::GatewayConfig told = config_;
-  told.nodes[2].state = EngineState::kDraining;
+  told.engines[2].state = EndpointState::kDraining;
   {
     const std::lock_guard lock(mutex_);
     records_.told.push_back({"g", "n2", wall()});
   }
   gateway_->reload(told);
-  for (auto& f : all) EXPECT_EQ(f.get().verdict, Verdict::kServed);
+  for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(send("SELECT 1", "e" + std::to_string(i), options(5 * kSecond)).get().verdict,
-              Verdict::kServed);
+              RequestStatus::kServed);
   EXPECT_EQ(audited(), "");
 }
 
@@ -260,10 +263,10 @@
   add_node();
   service::NodeService& far = add_node({}, 1);
   start();
-  EXPECT_EQ(send("SELECT 1", "f0", options(5 * kSecond, "bound")).get().verdict, Verdict::kServed);
+  EXPECT_EQ(send("SELECT 1", "f0", options(5 * kSecond, "bound")).get().verdict, RequestStatus::kServed);
   far.kill();
   const QueryResult r = send("SELECT 1", "f1", options(2 * kSecond, "bound")).get();
-  EXPECT_EQ(r.verdict, Verdict::kRefused);
+  EXPECT_EQ(r.verdict, RequestStatus::kRejected);
   EXPECT_EQ(r.status.code, Code::kUnavailable);
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived, "f1"), 0u);
   EXPECT_EQ(audited(), "");
@@ -277,11 +280,11 @@
   cold.engine.fall_multiple = 3;
   cold.engine.fall_us = kSecond;
   Settings& rules = config_.settings;
-  rules.cold_from = 0.3;
-  rules.warm_after_us = 4 * kSecond;
-  rules.fall_multiple = 3;
-  rules.fall_us = kSecond;
-  rules.kind_cores = {2};
+  rules.slow_start_min_capacity_fraction = 0.3;
+  rules.slow_start_duration_us = 4 * kSecond;
+  rules.collapse_load_multiple = 3;
+  rules.collapse_window_us = kSecond;
+  rules.engine_type_cores = {2};
   nodes::NodeConfig warm = cold;
   warm.engine.warm_after_us = 0;
   add_node(warm);
@@ -297,11 +300,11 @@
   };
   load("w", 60);
   nodes_[1]->kill();
-  cold.listen = config_.nodes[1].address;
+  cold.listen = config_.engines[1].address;
   cold.name = "n1";
   nodes_[1] = std::make_unique<service::NodeService>(cold, system_, &recorder_);
   config::GatewayConfig told = config_;
-  told.nodes[1].started_us = wall();
+  told.engines[1].started_at = wall();
   gateway_->reload(told);
   load("c", 250);
   bool fallen = true;
@@ -315,8 +318,8 @@
   start();
   const Client::Ticket ticket = spawn(client_->ask("SELECT 1", options(5 * kSecond))).get();
   ASSERT_TRUE(ticket.status.ok());
-  EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, Verdict::kServed);
-  EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, Verdict::kServed);
+  EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, RequestStatus::kServed);
+  EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, RequestStatus::kServed);
 }
 
 TEST_F(Loopback, GetFlightInfoDoesNoEngineWork) {
@@ -361,7 +364,7 @@
     return fresh.reason == "stopping";
   }));
   EXPECT_EQ(fresh.status.code, Code::kUnavailable);
-  EXPECT_EQ(held.get().verdict, Verdict::kServed);
+  EXPECT_EQ(held.get().verdict, RequestStatus::kServed);
   stopped.get();
 }
 
@@ -373,11 +376,11 @@
   auto held = send("SELECT 1 /*+ work=20s */", "held", options(10 * kSecond));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 1; }));
   gateway_.reset();  // breaks everything off
-  EXPECT_NE(held.get().verdict, Verdict::kServed);
+  EXPECT_NE(held.get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded) == 1; }));
   config_.listen = "127.0.0.1:" + std::to_string(port);
   start();
-  EXPECT_EQ(send("SELECT 1", "again", options(5 * kSecond)).get().verdict, Verdict::kServed);
+  EXPECT_EQ(send("SELECT 1", "again", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   const QueryResult r = spawn(client_->fetch(old.ticket, options(5 * kSecond))).get();
   EXPECT_EQ(r.status.code, Code::kNotFound);
   EXPECT_NE(r.status.message.find("another gateway or of this one before its restart"), std::string::npos);
@@ -388,7 +391,7 @@
   roomy.engine.sessions_per_core = 1e4;
   add_node(roomy);
   add_node(roomy);
-  config_.front.open_per_connection = 6'000;
+  config_.flight_sql.open_per_connection = 6'000;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 5'000; ++i)
@@ -401,7 +404,9 @@
   }));
   for (auto& f : all) {
     const QueryResult r = f.get();
-    (r.verdict == Verdict::kServed ? served : r.verdict == Verdict::kRefused ? refused : failed) += 1;
+    (r.verdict == RequestStatus::kServed     ? served
+     : r.verdict == RequestStatus::kRejected ? refused
+                                             : failed) += 1;
   }
   EXPECT_EQ(served + refused, 5'000);
   EXPECT_EQ(failed, 0);
@@ -411,7 +416,7 @@
 
 TEST_F(Loopback, AConnectionMayHoldOnlySoMany) {
   add_node();
-  config_.front.open_per_connection = 3;
+  config_.flight_sql.open_per_connection = 3;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 3; ++i)
@@ -421,8 +426,8 @@
   EXPECT_EQ(over.reason, "connection-full");
   auto other = open_client();
   EXPECT_EQ(send("SELECT 1", "other", options(5 * kSecond), false, other.get()).get().verdict,
-            Verdict::kServed);
-  for (auto& f : all) EXPECT_EQ(f.get().verdict, Verdict::kServed);
+            RequestStatus::kServed);
+  for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
   other.reset();
 }
 
@@ -508,7 +513,7 @@
   flight.ParseFromString(bytes);
   const QueryResult r =
       spawn(client_->fetch(flight.endpoint(0).ticket().SerializeAsString(), options(5 * kSecond))).get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.rows, 4);
   EXPECT_EQ(put(command, {1, 2}).status.code, Code::kInvalidArgument);  // one row at most
   flightsql::fsql::ActionClosePreparedStatementRequest close;
@@ -561,8 +566,8 @@
 
 TEST_F(BadInput, IsNamedAndHurtsNobodyElse) {
   add_node();
-  config_.front.statement_bytes = 1000;
-  config_.front.message_bytes = 64 << 10;
+  config_.flight_sql.statement_bytes = 1000;
+  config_.flight_sql.message_bytes = 64 << 10;
   start();
   expect(call("GetFlightInfo", "\xff\xff\xff"), Code::kInvalidArgument,
          "the request is no valid FlightDescriptor");
@@ -613,7 +618,7 @@
   data.set_data_header("too short to be a schema");
   expect(call("DoPut", data.SerializeAsString()), Code::kInvalidArgument, "arrow ipc:");
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived), 0u);
-  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, Verdict::kServed);
+  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   EXPECT_EQ(open_requests(), 0u);
 }
 
@@ -628,7 +633,7 @@
       EXPECT_FALSE(call(method, bytes).ok());
     }
   }
-  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, Verdict::kServed);
+  EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
 }
 
 // gRPC makes a client's timeout longer on the wire, by rounding and by sending an earlier one again; an
--- a/tests/platform_crossing_test.cpp
+++ b/tests/platform_crossing_test.cpp
@@ -94,26 +94,26 @@
  protected:
   explicit PlatformCrossing(size_t connections = 20) {
     node_listener_ = std::make_unique<RawSocket>(RawSocket::listen(&node_port_));
-    config::NodeConfig node;
+    config::EngineConfig node;
     node.name = "n";
     node.address = "127.0.0.1:" + std::to_string(node_port_);
     directory_.replace({node});
-    platform::NodeClientOptions to_nodes;
-    to_nodes.budget.nodes = 2;
+    platform::EngineClientOptions to_nodes;
+    to_nodes.budget.engines = 2;
     to_nodes.classes = {"lookup", "report"};
-    nodes_ = std::make_unique<platform::NodeClient>(to_nodes, *net_, loop_, directory_);
-    carrier_ = std::make_unique<carrier::Carrier>(plain_settings(), 7, carrier::CarrierLimits{}, loop_,
-                                                  *nodes_, lists_, log_);
-    nodes_->set_carrier(carrier_.get());
-    platform::FrontOptions to_clients;
+    nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
+    carrier_ = std::make_unique<carrier::RequestDispatcher>(plain_settings(), 7, carrier::DispatcherLimits{},
+                                                            loop_, *nodes_, lists_, log_);
+    nodes_->set_dispatcher(carrier_.get());
+    platform::HttpServerOptions to_clients;
     to_clients.classes = to_nodes.classes;
-    to_clients.patience_us = {5 * kSecond, 15 * kSecond};
-    to_clients.connections = connections;
-    front_ = std::make_unique<platform::Front>(to_clients, *carrier_, *net_, loop_);
+    to_clients.max_timeout_us = {5 * kSecond, 15 * kSecond};
+    to_clients.max_connections = connections;
+    front_ = std::make_unique<platform::HttpServer>(to_clients, *carrier_, *net_, loop_);
     port_ = net_->listen("127.0.0.1:0", [this](auto stream) { return front_->serve(std::move(stream)); });
     carrier_->start();
-    nodes_->nodes_changed();
-    carrier_->set_list(ListForm::kFull, directory_.entries());
+    nodes_->on_endpoints_changed();
+    carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
     loop_.poll();
   }
   ~PlatformCrossing() override {
@@ -175,15 +175,15 @@
   std::unique_ptr<RawSocket> node_listener_;
   std::vector<RawSocket> node_side_;
   int node_port_ = 0, port_ = 0;
-  struct NoLists : carrier::ListSource {
-    void subscribe(bool) override {}
+  struct NoLists : carrier::EndpointSource {
+    void watch(bool) override {}
     void fetch() override {}
   } lists_;
   NullLog log_;
-  membership::Directory directory_;
-  std::unique_ptr<platform::NodeClient> nodes_;
-  std::unique_ptr<carrier::Carrier> carrier_;
-  std::unique_ptr<platform::Front> front_;
+  membership::EndpointRegistry directory_;
+  std::unique_ptr<platform::EngineClient> nodes_;
+  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<platform::HttpServer> front_;
 };
 
 class PlatformCrossingFull : public PlatformCrossing {
@@ -198,7 +198,7 @@
     clients.push_back(RawSocket::connect(port_));
     clients.back().send(health());
   }
-  front_->drain();
+  front_->start_draining();
   net_->stop_listening();
   for (RawSocket& client : clients) EXPECT_TRUE(answered(client, "503"));
 }
@@ -207,8 +207,8 @@
 TEST_F(PlatformCrossing, ARequestUnreadAsItsConnectionIsToCloseIsAnswered) {
   RawSocket client = resting();
   client.send(health());
-  front_->drain();
-  front_->close_resting();
+  front_->start_draining();
+  front_->close_idle_connections();
   EXPECT_TRUE(answered(client, "503"));
 }
 
@@ -216,7 +216,7 @@
 TEST_F(PlatformCrossing, ACallBehindAnotherIsAnsweredThoughADrainBegins) {
   RawSocket client = RawSocket::connect(port_);
   client.send(health() + health());
-  front_->drain();
+  front_->start_draining();
   EXPECT_TRUE(until([&] {
     client.receive();
     return client.ended || client.broken;
@@ -231,8 +231,8 @@
 // The close comes first: the client hears of an end, not of a break, and what it sends then goes nowhere.
 TEST_F(PlatformCrossing, ARequestBehindTheCloseOfARestingConnectionIsNotTaken) {
   RawSocket client = resting();
-  front_->drain();
-  front_->close_resting();
+  front_->start_draining();
+  front_->close_idle_connections();
   client.send(statement(1));
   EXPECT_TRUE(until([&] {
     client.receive();
@@ -240,8 +240,8 @@
   }));
   EXPECT_TRUE(client.ended);
   EXPECT_FALSE(client.broken);
-  EXPECT_TRUE(until([&] { return front_->quiet(); }));
-  EXPECT_EQ(carrier_->counts().taken, 0u);
+  EXPECT_TRUE(until([&] { return front_->is_idle(); }));
+  EXPECT_EQ(carrier_->counters().accepted, 0u);
 }
 
 // A new connection needs room as the oldest at rest has just sent its next request: another one goes.
@@ -257,7 +257,7 @@
     other.receive();
     return other.ended;
   }));
-  EXPECT_EQ(front_->counts().evicted, 1u);
+  EXPECT_EQ(front_->counters().evicted, 1u);
 }
 
 // A burst of new connections, none of which has sent its request when the next one is accepted.
@@ -265,7 +265,7 @@
   RawSocket at_rest = resting();
   RawSocket first = RawSocket::connect(port_);
   RawSocket second = RawSocket::connect(port_);
-  EXPECT_TRUE(until([&] { return front_->counts().connections == 3; }));
+  EXPECT_TRUE(until([&] { return front_->counters().connections == 3; }));
   first.send(health());
   second.send(health());
   EXPECT_TRUE(answered(first, "200"));
@@ -279,7 +279,7 @@
     clients.push_back(RawSocket::connect(port_));
     clients.back().send(statement(n));
   }
-  ASSERT_TRUE(until([&] { return node_calls("POST /v2/q ") == 2 && carrier_->counts().attempts == 3; }));
+  ASSERT_TRUE(until([&] { return node_calls("POST /v2/q ") == 2 && carrier_->counters().attempts == 3; }));
   size_t sent = 2;
   uint64_t left = 0;
   for (int round = 0; round < 50 && left == 0; ++round) {
@@ -291,13 +291,13 @@
       clients.push_back(RawSocket::connect(port_));
       clients.back().send(statement(10 + round));
       ++sent;
-      const uint64_t taken = carrier_->counts().taken + 1;
-      ASSERT_TRUE(until([&] { return carrier_->counts().taken == taken; }));
+      const uint64_t taken = carrier_->counters().accepted + 1;
+      ASSERT_TRUE(until([&] { return carrier_->counters().accepted == taken; }));
       continue;
     }
     clients.back().close();
-    ASSERT_TRUE(until([&] { return carrier_->counts().left == 1; }));
-    left = carrier_->counts().left;
+    ASSERT_TRUE(until([&] { return carrier_->counters().disconnected == 1; }));
+    left = carrier_->counters().disconnected;
   }
   EXPECT_EQ(left, 1u);
   EXPECT_EQ(node_calls("POST /v2/q "), sent);
--- a/tests/platform_harness.h
+++ b/tests/platform_harness.h
@@ -174,16 +174,17 @@
     settings_.max_attempts = 6;
     options_.classes = {"lookup", "report"};
     options_.tenants = {"north", "south"};
-    for (const ClassSettings& cls : settings_.classes) options_.patience_us.push_back(cls.deadline_us);
-    options_.connections = client_connections;
-    platform::NodeClientOptions to_nodes;
-    to_nodes.budget.nodes = node_connections;
+    for (const ClassSettings& cls : settings_.classes)
+      options_.max_timeout_us.push_back(cls.request_timeout_us);
+    options_.max_connections = client_connections;
+    platform::EngineClientOptions to_nodes;
+    to_nodes.budget.engines = node_connections;
     to_nodes.classes = options_.classes;
-    nodes_ = std::make_unique<platform::NodeClient>(to_nodes, net_, *actor_, directory_);
-    carrier_ = std::make_unique<carrier::Carrier>(settings_, 7, carrier::CarrierLimits{}, *actor_, *nodes_,
-                                                  lists_, log_);
-    nodes_->set_carrier(carrier_.get());
-    front_ = std::make_unique<platform::Front>(options_, *carrier_, net_, *actor_);
+    nodes_ = std::make_unique<platform::EngineClient>(to_nodes, net_, *actor_, directory_);
+    carrier_ = std::make_unique<carrier::RequestDispatcher>(settings_, 7, carrier::DispatcherLimits{},
+                                                            *actor_, *nodes_, lists_, log_);
+    nodes_->set_dispatcher(carrier_.get());
+    front_ = std::make_unique<platform::HttpServer>(options_, *carrier_, net_, *actor_);
     streams_.listen("gateway", actor_, [this](auto stream) { return front_->serve(std::move(stream)); });
     carrier_->start();
   }
@@ -200,20 +201,20 @@
     return *scripted_.back();
   }
   // Tells the gateway of all nodes, in the states given; those without one are ready.
-  void tell(const std::map<std::string, EngineState>& states = {}) {
-    std::vector<config::NodeConfig> list;
+  void tell(const std::map<std::string, EndpointState>& states = {}) {
+    std::vector<config::EngineConfig> list;
     for (const auto& node : scripted_) {
-      config::NodeConfig entry;
+      config::EngineConfig entry;
       entry.name = entry.address = node->address();
       if (const auto it = states.find(entry.address); it != states.end()) entry.state = it->second;
       list.push_back(entry);
     }
     directory_.replace(list);
-    nodes_->nodes_changed();
-    carrier_->set_list(ListForm::kFull, directory_.entries());
+    nodes_->on_endpoints_changed();
+    carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
   }
   EngineId id_of(const ScriptedNode& node) const {
-    for (const EngineEntry& e : directory_.entries())
+    for (const Endpoint& e : directory_.endpoints())
       if (directory_.address(e.engine) == node.address()) return e.engine;
     return 0;
   }
@@ -272,14 +273,14 @@
 
   sim::World& world() { return world_; }
   sim::Streams& streams() { return streams_; }
-  platform::NodeClient& nodes() { return *nodes_; }
-  platform::Front& front() { return *front_; }
-  carrier::Carrier& carrier() { return *carrier_; }
+  platform::EngineClient& nodes() { return *nodes_; }
+  platform::HttpServer& front() { return *front_; }
+  carrier::RequestDispatcher& carrier() { return *carrier_; }
   const CountingLog& log() const { return log_; }
 
  private:
-  struct NoLists : carrier::ListSource {
-    void subscribe(bool) override {}
+  struct NoLists : carrier::EndpointSource {
+    void watch(bool) override {}
     void fetch() override {}
   };
 
@@ -292,11 +293,11 @@
   CountingLog log_;
   NoLists lists_;
   Settings settings_ = plain_settings();
-  platform::FrontOptions options_;
-  membership::Directory directory_;
-  std::unique_ptr<platform::NodeClient> nodes_;
-  std::unique_ptr<carrier::Carrier> carrier_;
-  std::unique_ptr<platform::Front> front_;
+  platform::HttpServerOptions options_;
+  membership::EndpointRegistry directory_;
+  std::unique_ptr<platform::EngineClient> nodes_;
+  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<platform::HttpServer> front_;
   std::vector<std::unique_ptr<ScriptedNode>> scripted_;
 };
 
--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 using platform::ChangeEvent;
-using platform::ChangeSequence;
+using platform::ChangeLogReader;
 using Answer = PlatformBench::Answer;
 
 std::string id_number(int n) {
@@ -31,13 +31,13 @@
   return id;
 }
 
-carrier::AttemptOrder order(const std::string& id) {
+carrier::AttemptSpec order(const std::string& id) {
   carrier::Statement statement;
   statement.text = "SELECT 1";
   statement.client_tag = id;
-  carrier::AttemptOrder out;
+  carrier::AttemptSpec out;
   out.statement = std::make_shared<const carrier::Statement>(statement);
-  out.allow_us = 5 * kSecond;
+  out.remaining_us = 5 * kSecond;
   return out;
 }
 
@@ -67,8 +67,8 @@
   EXPECT_EQ(http::find(post->request.fields, "x-queue"), "lookup");
   EXPECT_LE(http::whole_number(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
   EXPECT_EQ(node.count("POST"), 1u);
-  EXPECT_EQ(b.nodes().queries(), 0u);
-  EXPECT_EQ(b.carrier().entries(), 0u);
+  EXPECT_EQ(b.nodes().active_attempts(), 0u);
+  EXPECT_EQ(b.carrier().tracked_requests(), 0u);
 }
 
 // Nodes drop repeats by the client's key, and refuse a request that comes without it.
@@ -209,7 +209,7 @@
   rpc::AsioLoop there(wall, steady), here(wall, steady);
   auto far = std::make_unique<rpc::TcpNet>(there), net = std::make_unique<rpc::TcpNet>(here);
   std::atomic<int> asked{0};
-  config::NodeConfig node;
+  config::EngineConfig node;
   node.name = "n";
   node.address =
       "127.0.0.1:" + std::to_string(far->listen("127.0.0.1:0", [&](auto stream) -> rpc::Awaitable<void> {
@@ -222,35 +222,35 @@
           co_await rpc::write_all(*stream, answer);
         }
       }));
-  membership::Directory directory;
+  membership::EndpointRegistry directory;
   directory.replace({node});
-  platform::NodeClientOptions options;
-  options.budget.nodes = 4;
+  platform::EngineClientOptions options;
+  options.budget.engines = 4;
   options.classes = {"lookup"};
-  auto nodes = std::make_unique<platform::NodeClient>(options, *net, here, directory);
-  struct NoLists : carrier::ListSource {
-    void subscribe(bool) override {}
+  auto nodes = std::make_unique<platform::EngineClient>(options, *net, here, directory);
+  struct NoLists : carrier::EndpointSource {
+    void watch(bool) override {}
     void fetch() override {}
   } lists;
   NullLog log;
-  carrier::Carrier carrier(plain_settings(), 7, {}, here, *nodes, lists, log);
-  nodes->set_carrier(&carrier);
-  nodes->nodes_changed();
-  nodes->start({7, 0}, directory.entries()[0].engine, order(id_number(7)));
+  carrier::RequestDispatcher carrier(plain_settings(), 7, {}, here, *nodes, lists, log);
+  nodes->set_dispatcher(&carrier);
+  nodes->on_endpoints_changed();
+  nodes->start({7, 0}, directory.endpoints()[0].engine, order(id_number(7)));
   std::thread node_thread([&] { there.run(); });
   // Stands still as soon as the call has left, well past the time at which it is given up.
   bool stood = false;
   std::function<void()> look = [&] {
-    if (!stood && nodes->counts().calls > 0) {
+    if (!stood && nodes->counters().calls > 0) {
       std::this_thread::sleep_for(std::chrono::milliseconds(600));
       stood = true;
     }
-    if (stood && nodes->queries() == 0) return here.stop();
+    if (stood && nodes->active_attempts() == 0) return here.stop();
     here.call_after(kMs, [&] { look(); });
   };
   here.call_after(0, [&] { look(); });
   here.run();
-  EXPECT_EQ(nodes->counts().overdue, 0u);
+  EXPECT_EQ(nodes->counters().overdue, 0u);
   EXPECT_EQ(asked, 1);
   nodes.reset();
   net.reset();
@@ -333,13 +333,13 @@
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   b.run_for(300 * kMs);
   ASSERT_EQ(a.count("POST"), 1u);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
   b.run_for(kSecond);
   ASSERT_NE(a.first("DELETE"), nullptr);
   ASSERT_NE(c.first("POST"), nullptr);
   EXPECT_GE(c.first("POST")->at, a.first("DELETE")->at + 100 * kMs);
-  b.nodes().drop({7, 1});
+  b.nodes().cancel({7, 1});
   b.run_for(kSecond);
 }
 
@@ -357,14 +357,14 @@
   b.tell();
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   while (a.count("POST") == 0) b.run_for(kMs);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
   b.run_for(kSecond);
   ASSERT_EQ(a.count("DELETE"), 2u);
   EXPECT_GE(a.first("DELETE")->at, a.first("POST")->at + 25 * kMs);
   ASSERT_NE(c.first("POST"), nullptr);
   EXPECT_GT(c.first("POST")->at, a.seen.back().at);
-  b.nodes().drop({7, 1});
+  b.nodes().cancel({7, 1});
   b.run_for(kSecond);
 }
 
@@ -377,7 +377,7 @@
   b.tell();
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   b.run_for(300 * kMs);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
   b.run_for(5 * kSecond);
   ASSERT_NE(c.first("POST"), nullptr);
@@ -386,7 +386,7 @@
     if (s.request.method != "DELETE") last_asked = s.at;
   // The node may have held the last call for 250 ms, and counts from the end of that.
   EXPECT_GE(c.first("POST")->at, last_asked + 2250 * kMs);
-  b.nodes().drop({7, 1});
+  b.nodes().cancel({7, 1});
   b.run_for(kSecond);
 }
 
@@ -400,9 +400,9 @@
   a.script = slow_delete;
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   b.run_for(100 * kMs);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
-  b.tell({{c.address(), EngineState::kDraining}});
+  b.tell({{c.address(), EndpointState::kDraining}});
   b.run_for(2 * kSecond);
   EXPECT_EQ(c.count("POST"), 0u);
 }
@@ -419,13 +419,13 @@
   b.run_for(100 * kMs);
   ASSERT_EQ(a.count("POST"), 1u);
   b.streams().unlisten(a.address());
-  b.nodes().drop({7, 0});  // its DELETE needs a connection of its own, which is refused
+  b.nodes().cancel({7, 0});  // its DELETE needs a connection of its own, which is refused
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
   b.run_for(2 * kSecond);
   ASSERT_NE(a.first("DELETE"), nullptr);
   ASSERT_NE(c.first("POST"), nullptr);
   EXPECT_GE(c.first("POST")->at, a.first("DELETE")->at + 100 * kMs);
-  b.nodes().drop({7, 1});
+  b.nodes().cancel({7, 1});
   b.run_for(kSecond);
 }
 
@@ -442,12 +442,12 @@
   b.tell();
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   while (a.count("POST") == 0) b.run_for(kMs);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({7, 1}, b.id_of(c), order(id_number(7)));
   b.run_for(3 * kSecond);
   ASSERT_NE(c.first("POST"), nullptr);
   EXPECT_GE(c.first("POST")->at, a.first("POST")->at + 300 * kMs);
-  b.nodes().drop({7, 1});
+  b.nodes().cancel({7, 1});
   b.run_for(kSecond);
 }
 
@@ -461,13 +461,13 @@
   b.tell();
   b.nodes().start({7, 0}, b.id_of(a), order(id_number(7)));
   b.run_for(100 * kMs);
-  b.nodes().drop({7, 0});
+  b.nodes().cancel({7, 0});
   b.nodes().start({8, 0}, b.id_of(c), order(id_number(7)));
   b.run_for(kSecond);
   ASSERT_NE(a.first("DELETE"), nullptr);
   ASSERT_NE(c.first("POST"), nullptr);
   EXPECT_GE(c.first("POST")->at, a.first("DELETE")->at + 100 * kMs);
-  b.nodes().drop({8, 0});
+  b.nodes().cancel({8, 0});
   b.run_for(kSecond);
 }
 
@@ -476,14 +476,14 @@
   PlatformBench b;
   ScriptedNode& node = b.add_node();
   b.tell();
-  carrier::AttemptOrder held = order(id_number(7)), free = order(id_number(8));
-  held.may_leave = [] { return false; };
-  free.may_leave = [] { return true; };
+  carrier::AttemptSpec held = order(id_number(7)), free = order(id_number(8));
+  held.still_valid = [] { return false; };
+  free.still_valid = [] { return true; };
   b.nodes().start({7, 0}, b.id_of(node), held);
   b.nodes().start({8, 0}, b.id_of(node), free);
   b.run_for(kSecond);
   EXPECT_EQ(node.count("POST"), 1u);
-  EXPECT_EQ(b.nodes().queries(), 0u);
+  EXPECT_EQ(b.nodes().active_attempts(), 0u);
 }
 
 // Nodes let go of a query that nobody asks for within 2 s.
@@ -508,7 +508,7 @@
   }
   EXPECT_EQ(asked.size(), static_cast<size_t>(kQueries));
   EXPECT_LT(longest, 1900 * kMs);
-  for (int i = 1; i <= kQueries; ++i) b.nodes().drop({static_cast<RequestId>(i), 0});
+  for (int i = 1; i <= kQueries; ++i) b.nodes().cancel({static_cast<RequestId>(i), 0});
   b.run_for(kSecond);
   EXPECT_EQ(node.count("DELETE"), static_cast<size_t>(kQueries));
 }
@@ -521,7 +521,7 @@
   b.start(PlatformBench::statement(id_number(1), "SELECT 1", "report", "9000"), 700 * kMs);
   b.run_for(2 * kSecond);
   EXPECT_EQ(node.count("DELETE"), 1u);
-  EXPECT_EQ(b.carrier().entries(), 0u);
+  EXPECT_EQ(b.carrier().tracked_requests(), 0u);
   EXPECT_EQ(b.front().connections(), 0u);
 }
 
@@ -572,7 +572,7 @@
     b.run_for(3 * kSecond);
     EXPECT_EQ(answer->status, status) << bytes.substr(0, 160);
     EXPECT_EQ(node.seen.size(), 0u) << bytes.substr(0, 160);
-    EXPECT_EQ(b.carrier().counts().taken, 0u);
+    EXPECT_EQ(b.carrier().counters().accepted, 0u);
   }
 }
 
@@ -652,7 +652,7 @@
     boost::asio::co_spawn(b.world().executor(), b.front().serve(streams.back()), boost::asio::detached);
     b.run_for(kMs);
   }
-  EXPECT_GE(b.front().counts().evicted, 200u);
+  EXPECT_GE(b.front().counters().evicted, 200u);
   EXPECT_LE(asked, kComing);
   for (const auto& stream : streams) stream->close();
   b.run_for(kMs);
@@ -688,7 +688,7 @@
   for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(further->status, 503);
   EXPECT_EQ(further->body, R"({"failure":"Full"})");
-  EXPECT_EQ(b.front().counts().no_room, 1u);
+  EXPECT_EQ(b.front().counters().no_room, 1u);
 }
 
 // What comes behind an open call has its time from when it came, not from when its turn comes.
@@ -703,7 +703,7 @@
   b.run_for(4 * kSecond);
   EXPECT_EQ(second->status, 503);
   for (const auto& seen : node.seen) EXPECT_NE(http::find(seen.request.fields, "x-ticket"), id_number(2));
-  EXPECT_EQ(b.carrier().counts().refused, 1u);
+  EXPECT_EQ(b.carrier().counters().rejected, 1u);
 }
 
 // Many calls at once are read as answers make room, and none is lost.
@@ -720,7 +720,7 @@
   const auto last = b.start(all, 10 * kSecond, kCalls);
   b.run_for(5 * kSecond);
   EXPECT_EQ(last->status, 200);
-  EXPECT_EQ(b.carrier().counts().served, static_cast<uint64_t>(kCalls));
+  EXPECT_EQ(b.carrier().counters().served, static_cast<uint64_t>(kCalls));
 }
 
 // Closed while at rest, a connection takes nothing more; what has come before that is answered.
@@ -731,11 +731,11 @@
   b.tell();
   const auto open = b.start(PlatformBench::statement(id_number(1)));
   b.run_for(50 * kMs);
-  b.front().drain();
-  b.front().close_resting();
+  b.front().start_draining();
+  b.front().close_idle_connections();
   b.run_for(kSecond);
   EXPECT_EQ(open->status, 200);
-  EXPECT_TRUE(b.front().quiet());
+  EXPECT_TRUE(b.front().is_idle());
 }
 
 TEST(Platform, HealthSaysWhenItLeaves) {
@@ -744,7 +744,7 @@
   const auto before = b.start(health);
   b.run_for(100 * kMs);
   EXPECT_EQ(before->status, 200);
-  b.front().drain();
+  b.front().start_draining();
   const auto after = b.start(health);
   b.run_for(100 * kMs);
   EXPECT_EQ(after->status, 503);
@@ -777,9 +777,9 @@
 TEST(PlatformPages, LoadReportsByName) {
   const auto report = platform::read_meter("inflight:7;util:0.61;x0:0.25");
   ASSERT_TRUE(report);
-  EXPECT_EQ(report->held, 7);
-  EXPECT_EQ(report->cpu_share, 0.61);
-  EXPECT_EQ(report->memory_share, 0.25);
+  EXPECT_EQ(report->in_flight, 7);
+  EXPECT_EQ(report->cpu_utilization, 0.61);
+  EXPECT_EQ(report->memory_utilization, 0.25);
   for (const char* wrong :
        {"", ":", "inflight", "inflight:", "inflight:nan", "inflight:-1", "other:3", "inflight:1x"})
     EXPECT_FALSE(platform::read_meter(wrong)) << wrong;
@@ -798,25 +798,25 @@
 
 // On a long day nodes come and go for ever.
 TEST(PlatformDirectory, ForgetsTheNodesThatLeftLongAgo) {
-  membership::Directory directory;
-  config::NodeConfig stays;
+  membership::EndpointRegistry directory;
+  config::EngineConfig stays;
   stays.name = "stays";
   stays.address = "10.0.0.1:1";
   std::set<EngineId> ids;
   EngineId first = 0;
   for (int i = 0; i < 2'000; ++i) {
-    config::NodeConfig passing;
+    config::EngineConfig passing;
     passing.name = "n" + std::to_string(i);
     passing.address = "10.0.0.2:1";
     directory.replace({stays, passing});
-    EXPECT_TRUE(ids.insert(directory.entries()[1].engine).second) << "an id is given twice";
-    if (i == 0) first = directory.entries()[0].engine;
-    EXPECT_EQ(directory.entries()[0].engine, first);
-    EXPECT_EQ(directory.address(directory.entries()[1].engine), passing.address);
+    EXPECT_TRUE(ids.insert(directory.endpoints()[1].engine).second) << "an id is given twice";
+    if (i == 0) first = directory.endpoints()[0].engine;
+    EXPECT_EQ(directory.endpoints()[0].engine, first);
+    EXPECT_EQ(directory.address(directory.endpoints()[1].engine), passing.address);
   }
   size_t remembered = 0;
   for (const EngineId id : ids) remembered += !directory.address(id).empty();
-  EXPECT_LE(remembered, membership::Directory::kLeftKept + 1);
+  EXPECT_LE(remembered, membership::EndpointRegistry::kLeftKept + 1);
   EXPECT_GE(remembered, 200u);
   EXPECT_EQ(directory.address(first), stays.address);
 }
@@ -824,9 +824,9 @@
 TEST(PlatformDescriptors, AllPartsFitUnderTheLimit) {
   for (const size_t limit : {256, 384, 512, 1024}) {
     const auto budget = platform::DescriptorBudget::of(limit);
-    EXPECT_LE(budget.clients + budget.nodes + 24, limit);
+    EXPECT_LE(budget.clients + budget.engines + 24, limit);
     EXPECT_GE(budget.clients, limit / 3);
-    EXPECT_LE(budget.per_node(9) * 9, budget.nodes);
+    EXPECT_LE(budget.per_engine(9) * 9, budget.engines);
   }
 }
 
@@ -834,13 +834,13 @@
 TEST(PlatformDrain, EndsBeforeTheKillWhateverTheDeadlines) {
   for (const TimeUs deadline : {300 * kMs, 900 * kMs, 2500 * kMs, 3 * kSecond, 40 * kSecond}) {
     Settings settings = plain_settings();
-    for (ClassSettings& cls : settings.classes) cls.deadline_us = deadline;
-    const auto times = platform::DrainTimes::of(settings);
+    for (ClassSettings& cls : settings.classes) cls.request_timeout_us = deadline;
+    const auto times = platform::ShutdownSchedule::of(settings);
     const TimeUs kill = std::min(deadline, 3 * kSecond) + 700 * kMs;
-    EXPECT_GE(times.stop_taking, 600 * kMs) << deadline;
-    EXPECT_LE(times.stop_taking, times.give_up) << deadline;
-    EXPECT_LT(times.give_up + 200 * kMs, times.end) << deadline;
-    EXPECT_LT(times.end + 100 * kMs, kill) << deadline;
+    EXPECT_GE(times.stop_accepting, 600 * kMs) << deadline;
+    EXPECT_LE(times.stop_accepting, times.cancel_in_flight) << deadline;
+    EXPECT_LT(times.cancel_in_flight + 200 * kMs, times.exit) << deadline;
+    EXPECT_LT(times.exit + 100 * kMs, kill) << deadline;
   }
 }
 
@@ -865,16 +865,16 @@
   EXPECT_EQ(c.dial_timeout_us, 200'000);
   ASSERT_EQ(c.settings.classes.size(), 2u);
   EXPECT_EQ(c.settings.classes[1].threads, 4);
-  EXPECT_EQ(c.settings.classes[1].worth, 5);
-  EXPECT_EQ(c.settings.instances, 3);
-  EXPECT_TRUE(c.settings.may_cancel);
+  EXPECT_EQ(c.settings.classes[1].priority_weight, 5);
+  EXPECT_EQ(c.settings.gateway_count, 3);
+  EXPECT_TRUE(c.settings.cancellation_allowed);
   EXPECT_EQ(c.names.classes, (std::vector<std::string>{"lookup", "report"}));
   ASSERT_EQ(c.known.size(), 1u);
   const auto& nodes = c.known[0].nodes;
   EXPECT_EQ(nodes[0].node.zone, 1);
-  EXPECT_EQ(nodes[0].node.kind, 1);
-  EXPECT_EQ(nodes[1].node.state, EngineState::kDraining);
-  EXPECT_EQ(nodes[1].node.started_us, 1700000000123000);
+  EXPECT_EQ(nodes[0].node.engine_type, 1);
+  EXPECT_EQ(nodes[1].node.state, EndpointState::kDraining);
+  EXPECT_EQ(nodes[1].node.started_at, 1700000000123000);
 }
 
 TEST(PlatformConfig, WhatIsWrongIsNamed) {
@@ -903,23 +903,23 @@
                            R"({"seq":5,"invalidate":{}})"
                            "\n5\n";
   for (size_t step = 1; step < 90; step += 11) {
-    ChangeSequence sequence(3, {});
+    ChangeLogReader sequence(3, {});
     std::vector<uint64_t> applied;
     bool good = true;
     for (size_t at = 0; at < text.size(); at += step)
       good = good && sequence.feed(std::string_view(text).substr(at, step),
-                                   [&](const ChangeEvent& e) { applied.push_back(e.seq); });
+                                   [&](const ChangeEvent& e) { applied.push_back(e.sequence_number); });
     EXPECT_TRUE(good);
     EXPECT_EQ(applied, (std::vector<uint64_t>{4, 5}));
     EXPECT_EQ(sequence.last(), 5u);
   }
   // A gap, a number that is ahead, what can't be read, a line that never ends: ask again.
   for (const std::string wrong : {"{\"seq\":9}\n", "7\n", "{\"seq\":4\n", "x\n", "{\"seq\":\"4\"}\n"}) {
-    ChangeSequence sequence(3, {});
+    ChangeLogReader sequence(3, {});
     EXPECT_FALSE(sequence.feed(wrong, [](const ChangeEvent&) { FAIL(); })) << wrong;
     EXPECT_EQ(sequence.last(), 3u);
   }
-  ChangeSequence sequence(3, {});
+  ChangeLogReader sequence(3, {});
   bool good = true;
   size_t fed = 0;
   for (; good && fed < 100; ++fed) good = sequence.feed(std::string(1 << 20, 'x'), [](const ChangeEvent&) {});
@@ -954,10 +954,10 @@
     }
   });
   NullLog log;
-  std::vector<config::NodeConfig> nodes;
+  std::vector<config::EngineConfig> nodes;
   platform::PlatformConfig config = platform::parse_config(kConfig);
-  auto changes = std::make_unique<platform::ChangeLog>(
-      net, *gateway, log, [&](const std::vector<config::NodeConfig>& told) { nodes = told; });
+  auto changes = std::make_unique<platform::EndpointWatcher>(
+      net, *gateway, log, [&](const std::vector<config::EngineConfig>& told) { nodes = told; });
   changes->start(config);
   world.settle();
   world.run_until(world.now() + 5 * kSecond);
@@ -966,7 +966,7 @@
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(nodes.size(), 2u);
   config.changelog = "10.2.0.2:8500";  // nobody is there yet
-  changes->move(config);
+  changes->switch_address(config);
   drained = true;
   world.run_until(world.now() + 2 * kSecond);
   EXPECT_EQ(nodes.size(), 1u);
@@ -1014,10 +1014,10 @@
     co_await serve(std::move(s));
   });
   NullLog log;
-  std::vector<config::NodeConfig> nodes;
+  std::vector<config::EngineConfig> nodes;
   platform::PlatformConfig config = platform::parse_config(kConfig);
-  auto follow = std::make_unique<platform::ChangeLog>(
-      net, *gateway, log, [&](const std::vector<config::NodeConfig>& told) { nodes = told; });
+  auto follow = std::make_unique<platform::EndpointWatcher>(
+      net, *gateway, log, [&](const std::vector<config::EngineConfig>& told) { nodes = told; });
   auto& changes = *follow;
   changes.start(config);
   EXPECT_EQ(nodes.size(), 2u);
@@ -1044,7 +1044,7 @@
   EXPECT_EQ(nodes.size(), 5u);
   say(7);
   config.changelog = "10.2.0.2:8500";
-  changes.move(config);
+  changes.switch_address(config);
   world.run_until(world.now() + kSecond);
   EXPECT_GE(asked_new, 1);
   EXPECT_EQ(nodes.size(), 6u);
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -19,7 +19,7 @@
 
 TEST(Choice, FollowsLoadReports) {
   Settings s = plain_settings();
-  s.instances = 3;
+  s.gateway_count = 3;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(1, 0, 5 * kSecond, 100'000);
@@ -61,7 +61,7 @@
 TEST(Choice, ALoadsGroupRepelsItsLikes) {
   Settings s = plain_settings();
   s.classes[1].writes_tables = true;
-  s.classes[0].waits_for_loads = true;
+  s.classes[0].blocked_by_table_loads = true;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(1, 1, 15 * kSecond, 20'000, 7);
@@ -83,7 +83,7 @@
 
 TEST(RunBound, IsSharedWithTheOtherGatewaysOnlyUnderPressure) {
   Settings s = plain_settings();
-  s.instances = 4;
+  s.gateway_count = 4;
   Bench b(s);
   b.list({engine(1)});
   for (RequestId id = 1; id <= 6; ++id) b.request(id, 0, 5 * kSecond, 300'000);
@@ -92,8 +92,8 @@
 
 TEST(Queue, ShortQueriesInTimeGoBeforeLongOnesThatAreLate) {
   Settings s = plain_settings();
-  s.classes[1].aim_us = 200 * kMs;
-  s.classes[1].aim_stretch = 0;
+  s.classes[1].latency_objective_us = 200 * kMs;
+  s.classes[1].latency_objective_stretch = 0;
   Bench b(s);
   b.list({engine(1)});
   for (RequestId id = 1; id <= 8; ++id) b.request(id, 1, 15 * kSecond, 2'000'000);
@@ -126,14 +126,14 @@
   b.list({engine(1)});
   for (RequestId id = 1; id <= 8; ++id) b.request(id, 1, 15 * kSecond, 2'000'000);
   ASSERT_LT(b.sends_to(1), 8);
-  b.list({engine(2)}, ListForm::kDelta);
+  b.list({engine(2)}, EndpointUpdateKind::kDelta);
   b.run_for(20 * kMs);
   EXPECT_GE(b.sends_to(2), 2) << "incident i56d015: plans made earlier left engines idle";
 }
 
 TEST(Refusal, IsAtOnceWhereWorthIsOutOfReachAndTellsWhenToComeBack) {
   Settings s = plain_settings();
-  s.retry_after_heeded = true;
+  s.clients_honor_retry_after = true;
   s.max_retry_after_us = 2 * kSecond;
   Bench b(s);
   b.list({engine(1)});
@@ -156,18 +156,18 @@
 
 TEST(BadPlans, AreCancelledAndTriedAgainOnce) {
   Settings s = plain_settings();
-  s.progress_every_us = kSecond;
+  s.progress_interval_us = kSecond;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(7, 1, 15 * kSecond);
   b.run_for(kSecond);
-  b.gateway().on_progress(b.now(), ProgressNote{7, 0, b.engine_of(7), NoteKind::kProgress, 0.04}, b);
+  b.gateway().on_progress(b.now(), ProgressUpdate{7, 0, b.engine_of(7), ProgressKind::kProgress, 0.04}, b);
   b.run_for(50 * kMs);
   ASSERT_EQ(b.count(Action::kCancel, 7), 1);
   b.end(7, Outcome::kCancelled);
   ASSERT_EQ(b.sends(7), 2);
   b.run_for(kSecond);
-  b.gateway().on_progress(b.now(), ProgressNote{7, 1, b.engine_of(7), NoteKind::kProgress, 0.04}, b);
+  b.gateway().on_progress(b.now(), ProgressUpdate{7, 1, b.engine_of(7), ProgressKind::kProgress, 0.04}, b);
   b.run_for(50 * kMs);
   EXPECT_EQ(b.count(Action::kCancel, 7), 1) << "slow again: heavy in itself, left to run";
 }
@@ -206,7 +206,7 @@
 TEST(Health, RequestsThatAreThemselvesAtFaultBlameNoEngine) {
   for (const size_t engines : {2u, 4u, 8u}) {
     Bench b(plain_settings());
-    std::vector<EngineEntry> fleet;
+    std::vector<Endpoint> fleet;
     for (EngineId e = 1; e <= engines; ++e) fleet.push_back(engine(e));
     b.list(fleet);
     for (RequestId id = 1; id <= 200; ++id) {
@@ -235,12 +235,12 @@
       b.request(id, 0, 5 * kSecond, 50'000);
       b.run_for(10 * kMs);
       if (b.engine_of(id) == 1) {
-        AttemptEnd end;
+        AttemptCompletion end;
         end.id = id;
         end.engine = 1;
         end.outcome = Outcome::kReset;
-        end.engine_alive = alive;
-        b.gateway().on_attempt_end(b.now(), end, b);
+        end.engine_responsive = alive;
+        b.gateway().on_attempt_completed(b.now(), end, b);
         EXPECT_EQ(b.sends(id), 2) << "tried again";
       }
       b.end(id, Outcome::kOk, 50'000);
@@ -265,7 +265,7 @@
 
 TEST(Health, ASilentEngineIsTakenOutAndTrialTrafficBringsItBack) {
   Settings s = plain_settings();
-  s.may_cancel = false;
+  s.cancellation_allowed = false;
   Bench b(s);
   b.list({engine(1), engine(2), engine(3), engine(4)});
   bool hung = true;
@@ -333,7 +333,7 @@
 
 TEST(Terms, ShortQueriesGoFirstWherePrioritiesAreHeeded) {
   Settings s = plain_settings();
-  s.priorities_heeded = true;
+  s.engines_honor_priorities = true;
   Bench b(s);
   b.list({engine(1)});
   b.request(1, 0, 5 * kSecond, 100'000);
@@ -343,16 +343,16 @@
 
 TEST(Terms, GrantsFollowWhatQueriesTurnOutToNeed) {
   Settings s = plain_settings();
-  s.grants_heeded = true;
-  s.most_grant = 0.4;
+  s.engines_honor_grants = true;
+  s.max_grant_fraction = 0.4;
   Bench b(s);
   b.list({engine(1)});
   const auto ask = [&](RequestId id, double need) {
     QueryRequest r;
     r.id = id;
-    r.due_us = b.now() + 5 * kSecond;
-    r.cost_us = 50'000;
-    r.need_mb = need;
+    r.deadline = b.now() + 5 * kSecond;
+    r.estimated_cost_us = 50'000;
+    r.estimated_memory_mb = need;
     b.gateway().on_request(b.now(), r, b);
     return b.last(Action::kTerms, id)->amount;
   };
@@ -360,14 +360,14 @@
   EXPECT_GT(before, 100);
   for (RequestId id = 2; id < 80; ++id) {
     ask(id, 100);
-    AttemptEnd end;
+    AttemptCompletion end;
     end.id = id;
     end.engine = 1;
-    end.request_over = true;
-    end.took_us = 50'000;
+    end.request_finished = true;
+    end.duration_us = 50'000;
     end.work_us = 50'000;
-    end.used_mb = 200;
-    b.gateway().on_attempt_end(b.now(), end, b);
+    end.memory_used_mb = 200;
+    b.gateway().on_attempt_completed(b.now(), end, b);
   }
   EXPECT_GT(ask(100, 100), 190);
   EXPECT_LE(ask(101, 1e6), 0.4 * 16384 + 1);
--- a/tests/probe_test.cpp
+++ b/tests/probe_test.cpp
@@ -12,16 +12,16 @@
 
 Settings probing_settings() {
   Settings s = plain_settings();
-  s.instances = 200;
-  s.may_probe = true;
-  s.reports_in_answers = false;
-  s.reports_in_probes = true;
-  s.probe_fee = 0.01;
+  s.gateway_count = 200;
+  s.health_checks_allowed = true;
+  s.load_reports_in_responses = false;
+  s.load_reports_in_health_checks = true;
+  s.health_check_cost = 0.01;
   return s;
 }
 
-std::vector<EngineEntry> engines(int n) {
-  std::vector<EngineEntry> list;
+std::vector<Endpoint> engines(int n) {
+  std::vector<Endpoint> list;
   for (int i = 1; i <= n; ++i) list.push_back(engine(i));
   return list;
 }
@@ -36,7 +36,7 @@
 
 LoadReport busy(double share) {
   LoadReport report;
-  report.cpu_share = share;
+  report.cpu_utilization = share;
   return report;
 }
 
@@ -51,7 +51,8 @@
   b.run_for(5 * kMs);
   for (const EngineId e : asked) {
     const bool is_odd = e == *odd_one;
-    b.gateway().on_probe_end(b.now(), e, Outcome::kOk, is_odd ? odd_took : kMs, is_odd ? odd : busy(0.5), b);
+    b.gateway().on_health_check_completed(b.now(), e, Outcome::kOk, is_odd ? odd_took : kMs,
+                                          is_odd ? odd : busy(0.5), b);
   }
   b.run_for(20 * kMs);
   EXPECT_EQ(b.sends(id), 1);
@@ -81,8 +82,8 @@
   EXPECT_EQ(light.sends(1), 1);
   for (const bool dear : {true, false}) {
     Settings s = probing_settings();
-    s.probe_fee = dear ? 1 : 0.01;
-    s.may_probe = dear;
+    s.health_check_cost = dear ? 1 : 0.01;
+    s.health_checks_allowed = dear;
     Bench b(s);
     b.list(engines(3));
     b.request(1, 1, 15 * kSecond, 6'000'000);
@@ -97,16 +98,17 @@
   b.request(1, 1, 15 * kSecond, 6'000'000);
   b.run_for(30 * kMs);
   EXPECT_EQ(b.sends(1), 1) << "no answer within three ticks: it goes all the same";
-  b.gateway().on_probe_end(b.now(), 99, Outcome::kOk, kMs, busy(0.5), b);
-  for (const Outcome o : {Outcome::kError, Outcome::kFull, Outcome::kConnectFailed, Outcome::kTimeout}) {
-    b.gateway().on_probe_end(b.now(), 1, o, 250 * kMs, std::nullopt, b);
+  b.gateway().on_health_check_completed(b.now(), 99, Outcome::kOk, kMs, busy(0.5), b);
+  for (const Outcome o :
+       {Outcome::kError, Outcome::kOverloaded, Outcome::kConnectFailed, Outcome::kTimeout}) {
+    b.gateway().on_health_check_completed(b.now(), 1, o, 250 * kMs, std::nullopt, b);
   }
   LoadReport odd;
-  odd.cpu_share = -3;
-  odd.waiting = std::numeric_limits<double>::quiet_NaN();
-  odd.memory_share = std::numeric_limits<double>::infinity();
-  b.gateway().on_probe_end(b.now(), 2, Outcome::kOk, 0, odd, b);
-  b.gateway().on_probe_end(b.now(), 3, Outcome::kOk, kMs, LoadReport{}, b);
+  odd.cpu_utilization = -3;
+  odd.waiting_for_memory = std::numeric_limits<double>::quiet_NaN();
+  odd.memory_utilization = std::numeric_limits<double>::infinity();
+  b.gateway().on_health_check_completed(b.now(), 2, Outcome::kOk, 0, odd, b);
+  b.gateway().on_health_check_completed(b.now(), 3, Outcome::kOk, kMs, LoadReport{}, b);
   for (RequestId id = 2; id < 12; ++id) b.request(id, 0, 5 * kSecond, 50'000);
   for (RequestId id = 2; id < 12; ++id) EXPECT_EQ(b.sends(id), 1) << id;
 }
@@ -114,7 +116,7 @@
 TEST(Probes, AnEngineThatAnswersNoProbeIsTakenOut) {
   Bench b(probing_settings());
   b.list(engines(5));
-  b.gateway().on_probe_end(b.now(), 1, Outcome::kTimeout, 250 * kMs, std::nullopt, b);
+  b.gateway().on_health_check_completed(b.now(), 1, Outcome::kTimeout, 250 * kMs, std::nullopt, b);
   for (RequestId id = 1; id <= 40; ++id) b.request(id, 0, 5 * kSecond, 50'000);
   EXPECT_EQ(b.sends_to(1), 0);
 }
--- a/tests/program_harness.h
+++ b/tests/program_harness.h
@@ -40,27 +40,27 @@
   TimerHeap calls_;
 };
 
-class FakeNodes : public carrier::NodeTransport {
+class FakeNodes : public carrier::EngineTransport {
  public:
   struct Sent {
-    carrier::AttemptKey key;
+    carrier::AttemptId key;
     EngineId engine = 0;
-    carrier::AttemptOrder order;
+    carrier::AttemptSpec order;
     TimeUs at = 0;
     bool dropped = false, ended = false;
   };
   explicit FakeNodes(const Clock& clock) : clock_(clock) {}
-  void start(carrier::AttemptKey key, EngineId engine, const carrier::AttemptOrder& order) override {
+  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override {
     sent.push_back({key, engine, order, clock_.now()});
   }
-  void drop(carrier::AttemptKey key) override {
+  void cancel(carrier::AttemptId key) override {
     if (Sent* const s = find(key)) s->dropped = true;
   }
-  void resume(carrier::AttemptKey) override { ++resumes; }
-  void probe(uint32_t probe, EngineId engine) override { probes.emplace_back(probe, engine); }
-  void close_idle(EngineId) override {}
+  void resume(carrier::AttemptId) override { ++resumes; }
+  void check_health(uint32_t probe, EngineId engine) override { probes.emplace_back(probe, engine); }
+  void close_idle_connections(EngineId) override {}
 
-  Sent* find(carrier::AttemptKey key) {
+  Sent* find(carrier::AttemptId key) {
     for (Sent& s : sent)
       if (s.key == key) return &s;
     return nullptr;
@@ -84,21 +84,21 @@
   const Clock& clock_;
 };
 
-class FakeClient : public carrier::ReplySink {
+class FakeClient : public carrier::ResponseSink {
  public:
   void write(std::string message) override {
     bytes += message.size();
     messages.push_back(std::move(message));
   }
-  void finish(const carrier::FinalAnswer& answer) override { answers.push_back(answer); }
+  void finish(const carrier::FinalResponse& answer) override { answers.push_back(answer); }
   std::vector<std::string> messages;
-  std::vector<carrier::FinalAnswer> answers;
+  std::vector<carrier::FinalResponse> answers;
   size_t bytes = 0;
 };
 
-class FakeLists : public carrier::ListSource {
+class FakeLists : public carrier::EndpointSource {
  public:
-  void subscribe(bool) override { ++asked; }
+  void watch(bool) override { ++asked; }
   void fetch() override { ++asked; }
   int asked = 0;
 };
@@ -106,36 +106,36 @@
 // One carrier with two ready engines, ids 1 and 2.
 class CarrierBench {
  public:
-  explicit CarrierBench(Settings settings = plain_settings(), carrier::CarrierLimits limits = {})
+  explicit CarrierBench(Settings settings = plain_settings(), carrier::DispatcherLimits limits = {})
       : nodes(clock), carrier(std::move(settings), 7, limits, clock, nodes, lists, log) {
     carrier.start();
-    carrier.set_list(ListForm::kFull, {engine(1), engine(2)});
+    carrier.on_endpoints_changed(EndpointUpdateKind::kFull, {engine(1), engine(2)});
   }
 
   RequestId take(std::shared_ptr<FakeClient> client, TimeUs patience = 5 * kSecond, int cls = 0,
                  uint64_t key = 0) {
     QueryRequest q;
-    q.cls = cls;
+    q.class_index = cls;
     q.key = key;
-    q.due_us = clock.now() + patience;
+    q.deadline = clock.now() + patience;
     auto statement = std::make_shared<carrier::Statement>();
     statement->text = "SELECT 1";
-    return carrier.take(q, std::move(statement), std::move(client));
+    return carrier.submit(q, std::move(statement), std::move(client));
   }
   void end(FakeNodes::Sent& sent, Outcome outcome, bool statement_fault = false) {
     sent.ended = true;
     carrier::AttemptResult result;
     result.outcome = outcome;
-    result.statement_fault = statement_fault;
+    result.is_statement_error = statement_fault;
     if (outcome != Outcome::kOk) result.error = {13, "trouble"};
-    carrier.attempt_ended(sent.key, result);
+    carrier.on_attempt_completed(sent.key, result);
   }
 
   ManualClock clock;
   FakeNodes nodes;
   FakeLists lists;
   NullLog log;
-  carrier::Carrier carrier;
+  carrier::RequestDispatcher carrier;
 };
 
 }  // namespace sablelink::test
