--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -67,7 +67,7 @@
 TEST(Effects, FragileIsNeitherRepeatedNorRefusedOnceItMayHaveRun) {
   for (const Outcome outcome : {Outcome::kError, Outcome::kTimeout, Outcome::kReset, Outcome::kCancelled}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = Repeat::kFragile;
+    s.classes[0].idempotency = Idempotency::kNotIdempotent;
     Bench b(s);
     b.list({engine(1), engine(2)});
     b.request(7, 0, 5 * kSecond);
@@ -81,7 +81,7 @@
 
 TEST(Effects, FragileMayGoAgainWhereItNeverRan) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kFragile;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(7, 0, 5 * kSecond);
@@ -91,7 +91,7 @@
 
 TEST(Effects, FragileOutAtItsDeadlineFailsAndIsNotRefused) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kFragile;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
   Bench b(s);
   b.list({engine(1)});
   b.request(7, 0, 500 * kMs);
@@ -102,9 +102,9 @@
 
 TEST(Effects, DedupStaysInItsGroupAndItsWindow) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kDedup;
-  s.classes[0].key_scope = KeyScope::kZone;
-  s.classes[0].window_us = 2 * kSecond;
+  s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[0].dedup_scope = DedupScope::kZone;
+  s.classes[0].dedup_window_us = 2 * kSecond;
   Bench b(s);
   b.list({engine(1, 0), engine(2, 1), engine(3, 1), engine(4, 0)});
   b.request(7, 0, 5 * kSecond);
@@ -120,8 +120,8 @@
 
 TEST(Effects, DedupOverAllMayBeRefused) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kDedup;
-  s.classes[0].window_us = 100 * kMs;
+  s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[0].dedup_window_us = 100 * kMs;
   Bench b(s);
   b.list({engine(1)});
   b.request(7, 0, 5 * kSecond);
@@ -135,12 +135,12 @@
 }
 
 TEST(Drains, NothingNewGoesToADrainingOrGoneEngine) {
-  for (const EngineState state : {EngineState::kDraining, EngineState::kGone}) {
+  for (const EndpointState state : {EndpointState::kDraining, EndpointState::kRemoved}) {
     Bench b(plain_settings());
     b.list({engine(1), engine(2)});
-    EngineEntry changed = engine(1);
+    Endpoint changed = engine(1);
     changed.state = state;
-    b.list({changed}, ListForm::kDelta);
+    b.list({changed}, EndpointUpdateKind::kDelta);
     for (RequestId id = 10; id < 30; ++id) b.request(id, 0, 5 * kSecond);
     b.run_for(100 * kMs);
     EXPECT_EQ(b.sends_to(1), 0);
@@ -163,7 +163,7 @@
 TEST(Drains, AFailedListChangesNothing) {
   Bench b(plain_settings());
   b.list({engine(1)});
-  b.list({}, ListForm::kFailed);
+  b.list({}, EndpointUpdateKind::kFailed);
   b.request(7, 0, 5 * kSecond);
   EXPECT_EQ(b.engine_of(7), 1u);
 }
@@ -172,9 +172,9 @@
 // so much more or less. one_query: a single one comes back again and again, never admitted.
 double cold_work(int instances, bool fresh_gateway, double spread_us = 0, bool one_query = false) {
   Settings s = plain_settings();
-  s.instances = instances;
+  s.gateway_count = instances;
   s.max_attempts = 100;
-  s.classes[1].aim_us = 400 * kMs;  // taken for light enough that a small share holds one
+  s.classes[1].latency_objective_us = 400 * kMs;  // taken for light enough that a small share holds one
   Bench b(s);
   if (!fresh_gateway) {
     b.list({engine(1)});
@@ -188,13 +188,13 @@
   if (one_query) {
     b.list({engine(2, 0, 0, b.now())});
     b.request(100, 0, 5 * kSecond);
-    for (int i = 0; i < 100 && b.sends(100) > i; ++i) b.end(100, Outcome::kFull);
+    for (int i = 0; i < 100 && b.sends(100) > i; ++i) b.end(100, Outcome::kOverloaded);
     return b.sends_to(2) * 200'000.0;
   }
   b.list({engine(2, 0, 0, b.now())});
   for (RequestId id = 100; id < 400; ++id) {
     b.request(id, 0, 5 * kSecond);
-    if (b.sends(id)) b.end(id, Outcome::kFull);
+    if (b.sends(id)) b.end(id, Outcome::kOverloaded);
   }
   return b.sends_to(2) * 200'000.0;
 }
@@ -223,8 +223,8 @@
 
 Settings ordered_settings() {
   Settings s = plain_settings();
-  s.classes[0].in_order = true;
-  s.turn_gap_us = 300 * kMs;
+  s.classes[0].ordered_by_key = true;
+  s.ordering_gap_us = 300 * kMs;
   return s;
 }
 
@@ -268,9 +268,9 @@
 
 TEST(Order, AQueryWithoutItsTurnWaitsAndAnsweredOutOfTurnItFreesTheLine) {
   Settings s = ordered_settings();
-  s.classes[0].repeat = Repeat::kFragile;
-  s.classes[1].in_order = true;  // all such classes draw upon one set of keys
-  s.turn_gap_us = 0;
+  s.classes[0].idempotency = Idempotency::kNotIdempotent;
+  s.classes[1].ordered_by_key = true;  // all such classes draw upon one set of keys
+  s.ordering_gap_us = 0;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(1, 0, 5 * kSecond, -1, -1, 77);
@@ -288,8 +288,8 @@
 
 TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedAreGone) {
   Settings s = plain_settings();
-  s.classes[0].only_zones = {1};
-  s.classes[0].only_kinds = {1};
+  s.classes[0].allowed_zones = {1};
+  s.classes[0].allowed_engine_types = {1};
   Bench b(s);
   b.list({engine(1, 0, 1), engine(2, 1, 0), engine(3, 1, 1)});
   b.request(7, 0, 2 * kSecond);
@@ -304,38 +304,38 @@
 
 TEST(AttemptBudget, FurtherAttemptsAreRationedOverTheWindow) {
   Settings s = plain_settings();
-  s.attempts_rationed = true;
-  s.budget_free = 2;
-  s.budget_per_request = 0.1;
-  s.budget_window_us = 10 * kSecond;
+  s.retry_budget_enabled = true;
+  s.retry_budget_base = 2;
+  s.retry_budget_per_request = 0.1;
+  s.retry_budget_window_us = 10 * kSecond;
   Bench b(s);
   b.list({engine(1), engine(2), engine(3), engine(4), engine(5)});
   int extra = 0;
   for (RequestId id = 1; id <= 20; ++id) {
     b.request(id, 0, 5 * kSecond);
-    b.end(id, Outcome::kFull);
+    b.end(id, Outcome::kOverloaded);
     if (b.sends(id) > 1) ++extra, b.end(id, Outcome::kOk, 1000);
     EXPECT_LE(extra, 2 + 0.1 * id);
   }
   EXPECT_GE(extra, 3);
   b.run_for(11 * kSecond);
   b.request(50, 0, 5 * kSecond);
-  b.end(50, Outcome::kFull);
+  b.end(50, Outcome::kOverloaded);
   EXPECT_EQ(b.sends(50), 2) << "the window has moved on";
 }
 
 // Decided now, an attempt may leave up to the lag later, together with those of a lag later.
 TEST(AttemptBudget, CoversWhatLeavesLateInOneWindow) {
   Settings s = plain_settings();
-  s.attempts_rationed = true;
-  s.budget_free = 1;
-  s.budget_window_us = kSecond;
-  s.send_lag_us = 200 * kMs;
+  s.retry_budget_enabled = true;
+  s.retry_budget_base = 1;
+  s.retry_budget_window_us = kSecond;
+  s.max_send_delay_us = 200 * kMs;
   Bench b(s);
   b.list({engine(1), engine(2), engine(3)});
   const auto further = [&](RequestId id) {
     b.request(id, 0, 5 * kSecond);
-    b.end(id, Outcome::kFull);
+    b.end(id, Outcome::kOverloaded);
     const bool sent = b.sends(id) == 2;
     if (sent) b.end(id, Outcome::kOk, 1000);
     return sent;
@@ -349,9 +349,9 @@
 
 TEST(Effects, AKeyedRepeatLeavesWithinItsWindow) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kDedup;
-  s.classes[0].window_us = kSecond;
-  s.send_lag_us = 200 * kMs;
+  s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[0].dedup_window_us = kSecond;
+  s.max_send_delay_us = 200 * kMs;
   for (const TimeUs after : {700 * kMs, 900 * kMs}) {
     Bench b(s);
     b.list({engine(1), engine(2)});
@@ -365,42 +365,43 @@
 // A send may wait for a connection: what held at its decision has to hold as it leaves.
 TEST(LateSends, LeaveOnlyWhileAllThatWasDecidedHolds) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::kDedup;
-  s.classes[0].window_us = 500 * kMs;
+  s.classes[0].idempotency = Idempotency::kIdempotentWithKey;
+  s.classes[0].dedup_window_us = 500 * kMs;
   Bench b(s);
   b.list({engine(1), engine(2)});
   b.request(1, 0, 5 * kSecond);
   ASSERT_EQ(b.sends(1), 1);
-  EXPECT_TRUE(b.gateway().may_leave(b.now(), 1, 0, b));
-  EXPECT_FALSE(b.gateway().may_leave(b.now(), 1, 1, b));
+  EXPECT_TRUE(b.gateway().is_attempt_still_valid(b.now(), 1, 0, b));
+  EXPECT_FALSE(b.gateway().is_attempt_still_valid(b.now(), 1, 1, b));
   b.end(1, Outcome::kReset);
   ASSERT_EQ(b.sends(1), 2);
-  EXPECT_TRUE(b.gateway().may_leave(b.now() + 400 * kMs, 1, 1, b));
-  EXPECT_FALSE(b.gateway().may_leave(b.now() + 600 * kMs, 1, 1, b)) << "past the window of its repeats";
+  EXPECT_TRUE(b.gateway().is_attempt_still_valid(b.now() + 400 * kMs, 1, 1, b));
+  EXPECT_FALSE(b.gateway().is_attempt_still_valid(b.now() + 600 * kMs, 1, 1, b))
+      << "past the window of its repeats";
   b.request(2, 1, 5 * kSecond);
   ASSERT_EQ(b.sends(2), 1);
   b.list({engine(1, 0, 0, 0), engine(2, 0, 0, 0)});
-  EXPECT_TRUE(b.gateway().may_leave(b.now(), 2, 0, b));
-  EngineEntry leaving = engine(b.engine_of(2));
-  leaving.state = EngineState::kDraining;
-  b.list({leaving}, ListForm::kDelta);
-  EXPECT_FALSE(b.gateway().may_leave(b.now(), 2, 0, b)) << "its engine drains";
+  EXPECT_TRUE(b.gateway().is_attempt_still_valid(b.now(), 2, 0, b));
+  Endpoint leaving = engine(b.engine_of(2));
+  leaving.state = EndpointState::kDraining;
+  b.list({leaving}, EndpointUpdateKind::kDelta);
+  EXPECT_FALSE(b.gateway().is_attempt_still_valid(b.now(), 2, 0, b)) << "its engine drains";
   b.leave(2);
-  EXPECT_FALSE(b.gateway().may_leave(b.now(), 2, 0, b)) << "its client has left";
+  EXPECT_FALSE(b.gateway().is_attempt_still_valid(b.now(), 2, 0, b)) << "its client has left";
 }
 
 TEST(LateSends, CountAsTheyLeave) {
   Settings s = plain_settings();
-  s.attempts_rationed = true;
-  s.budget_free = 1;
-  s.budget_window_us = kSecond;
+  s.retry_budget_enabled = true;
+  s.retry_budget_base = 1;
+  s.retry_budget_window_us = kSecond;
   Bench b(s);
   b.list({engine(1), engine(2), engine(3)});
   b.request(1, 0, 20 * kSecond);
   b.end(1, Outcome::kReset);
   ASSERT_EQ(b.sends(1), 2);
   b.run_for(900 * kMs);
-  EXPECT_TRUE(b.gateway().may_leave(b.now(), 1, 1, b));
+  EXPECT_TRUE(b.gateway().is_attempt_still_valid(b.now(), 1, 1, b));
   b.run_for(200 * kMs);
   b.request(2, 0, 20 * kSecond);
   b.end(2, Outcome::kReset);
@@ -410,13 +411,13 @@
 // Rule 1 at a planned end: refused where nothing may have run, or it may run again, else failed.
 TEST(FinalAnswer, ComesForAllAtAPlannedEnd) {
   Settings s = plain_settings();
-  s.classes[1].repeat = Repeat::kFragile;
+  s.classes[1].idempotency = Idempotency::kNotIdempotent;
   Bench b(s);
   b.list({engine(1)});
   b.request(1, 0, 5 * kSecond);
   b.request(2, 1, 5 * kSecond);
   ASSERT_EQ(b.sends(1) + b.sends(2), 2);
-  b.gateway().on_stop(b.now(), b);
+  b.gateway().on_shutdown(b.now(), b);
   EXPECT_EQ(b.count(Action::kRefuse, 1), 1);
   EXPECT_EQ(b.count(Action::kFail, 2), 1);
   EXPECT_EQ(b.count(Action::kCancel, 1), 1);
@@ -424,11 +425,11 @@
 
 TEST(Streams, AStartedAnswerIsNeitherCancelledNorEnded) {
   Settings s = plain_settings();
-  s.classes[0].stream = true;
+  s.classes[0].streams_response = true;
   Bench b(s);
   b.list({engine(1)});
   b.request(7, 0, kSecond, 10'000);
-  b.gateway().on_stream_started(b.now(), 7, 0, b);
+  b.gateway().on_response_started(b.now(), 7, 0, b);
   b.run_for(8 * kSecond);
   EXPECT_EQ(b.count(Action::kCancel, 7), 0);
   EXPECT_FALSE(b.over(7));
@@ -436,10 +437,10 @@
 
 TEST(Discovery, IsSubscribedToAndAskedAgainAfterAFailure) {
   Settings s = plain_settings();
-  s.subscribe_discovery = true;
+  s.watch_endpoints = true;
   Bench b(s);
   EXPECT_EQ(b.count(Action::kSubscribe, 0), 1);
-  b.list({}, ListForm::kFailed);
+  b.list({}, EndpointUpdateKind::kFailed);
   b.run_for(kSecond);
   EXPECT_EQ(b.count(Action::kSubscribe, 0), 2);
 }
@@ -449,11 +450,11 @@
   b.list({engine(1)});
   b.leave(99);
   b.gateway().on_timer(b.now(), 12345, b);
-  b.gateway().on_progress(b.now(), ProgressNote{99, 0, 1, NoteKind::kProgress, 0.5}, b);
-  AttemptEnd end;
+  b.gateway().on_progress(b.now(), ProgressUpdate{99, 0, 1, ProgressKind::kProgress, 0.5}, b);
+  AttemptCompletion end;
   end.id = 99;
   end.engine = 55;
-  b.gateway().on_attempt_end(b.now(), end, b);
+  b.gateway().on_attempt_completed(b.now(), end, b);
   b.request(7, 9, kSecond);
   EXPECT_EQ(b.count(Action::kRefuse, 7), 1) << "a class that the settings don't have";
 }
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -26,9 +26,9 @@
   void SetUp() override {
     Loopback::SetUp();
     ClassSettings plan;
-    plan.aim_us = 100 * kMs;
-    plan.deadline_us = 2 * kSecond;
-    plan.late_worth = 0.5;
+    plan.latency_objective_us = 100 * kMs;
+    plan.request_timeout_us = 2 * kSecond;
+    plan.late_weight_fraction = 0.5;
     config_.settings.classes.push_back(plan);
     config_.class_names.push_back("plan");
     config_.planning.on = true;
@@ -107,7 +107,7 @@
                   [check](const auto& schema, const auto& batch) { check->on_batch(schema, batch); }))
             .get();
     if (out != nullptr) *out = r;
-    if (r.verdict != Verdict::kServed) return "not served: " + r.status.message;
+    if (r.verdict != RequestStatus::kServed) return "not served: " + r.status.message;
     const std::string fault = check->fault(true);
     const std::optional<arrowipc::Schema> promised = schema_of(with.schema());
     if (fault.empty() && promised && *promised != r.schema && !r.schema_changed) return "another schema";
@@ -133,8 +133,9 @@
   }
   schemas::Store::Counts store_counts() {
     schemas::Store::Counts counts;
-    gateway_->inspect(
-        [&](const carrier::Carrier&, const flightsql::Front& f) { counts = f.columns().store().counts(); });
+    gateway_->inspect([&](const carrier::RequestDispatcher&, const flightsql::FlightSqlServer& f) {
+      counts = f.columns().store().counts();
+    });
     return counts;
   }
 };
@@ -315,7 +316,7 @@
   EXPECT_EQ(spawn(client_->update("ALTER TABLE main.gallery ADD COLUMN seen INT", options(5 * kSecond)))
                 .get()
                 .verdict,
-            Verdict::kServed);
+            RequestStatus::kServed);
   EXPECT_EQ(schema_of(info(sql).schema())->fields.size(), 5u);
   EXPECT_EQ(plans(), 2u);
 }
@@ -358,7 +359,7 @@
   add_node();
   start();
   config::GatewayConfig changed = config_;
-  changed.nodes[0].state = EngineState::kDraining;
+  changed.engines[0].state = EndpointState::kDraining;
   gateway_->reload(changed);
   Reply r;
   config_.planning.wait_us = kSecond;
@@ -372,11 +373,11 @@
 TEST_F(Schemas, TheOnlyEngineThatCouldPlanIsColdAndItsBudgetIsSpent) {
   nodes::NodeConfig node;
   add_node(node);
-  config_.settings.cold_from = 0.35;
-  config_.settings.warm_after_us = 3600 * kSecond;
-  config_.settings.fall_us = 1500 * kMs;
-  config_.settings.fall_multiple = 2;
-  config_.nodes[0].started_us = wall();  // a gateway that starts with it takes the budget for spent
+  config_.settings.slow_start_min_capacity_fraction = 0.35;
+  config_.settings.slow_start_duration_us = 3600 * kSecond;
+  config_.settings.collapse_window_us = 1500 * kMs;
+  config_.settings.collapse_load_multiple = 2;
+  config_.engines[0].started_at = wall();  // a gateway that starts with it takes the budget for spent
   config_.planning.wait_us = 200 * kMs;
   start();
   Reply r;
@@ -398,7 +399,7 @@
   EXPECT_TRUE(r.ok()) << "the ticket is to be had all the same";
   const std::string ticket = info(known).endpoint(0).ticket().SerializeAsString();
   const QueryResult answer = spawn(client_->fetch(ticket, options(kSecond))).get();
-  EXPECT_EQ(answer.verdict, Verdict::kRefused);
+  EXPECT_EQ(answer.verdict, RequestStatus::kRejected);
   EXPECT_TRUE(answer.from_gateway);
 }
 
@@ -477,7 +478,7 @@
   config_.schemas.bytes = 128u << 10;
   config_.planning.free = 50;
   config_.planning.per_statement = 0;
-  config_.front.prepared = 20'000;
+  config_.flight_sql.prepared = 20'000;
   start();
   for (int from = 0; from < 10'000; from += 500) {
     std::vector<std::future<Reply>> asked;
@@ -493,11 +494,11 @@
   }
   EXPECT_GT(plans(), 0u);
   EXPECT_LE(plans(), 50u) << "what is over the budget goes without";
-  gateway_->inspect([&](const carrier::Carrier& c, const flightsql::Front& f) {
+  gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer& f) {
     EXPECT_LE(f.columns().store().size(), 500u);
     EXPECT_LE(f.columns().store().bytes(), 128u << 10);
     EXPECT_EQ(f.columns().planning().waiting(), 0u);
-    EXPECT_EQ(c.held_bytes(), 0u);
+    EXPECT_EQ(c.buffered_bytes(), 0u);
   });
 }
 
@@ -544,14 +545,16 @@
     const std::string lookup = "SELECT id FROM gallery /*+ work=100us */ WHERE id = " + std::to_string(i);
     ASSERT_EQ(read(info(lookup), lookup), "");
     if (i % 10 != 0) continue;
-    gateway_->inspect(
-        [&](const carrier::Carrier& c, const flightsql::Front&) { most = std::max(most, c.held_bytes()); });
+    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+      most = std::max(most, c.buffered_bytes());
+    });
   }
   const QueryResult r = large.get();
-  EXPECT_EQ(r.verdict, Verdict::kServed) << r.status.message;
-  EXPECT_EQ(check->fault(r.verdict == Verdict::kServed), "");
+  EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
+  EXPECT_EQ(check->fault(r.verdict == RequestStatus::kServed), "");
   EXPECT_GT(most, 0u);
-  EXPECT_LE(most, config_.carrier.hold_bytes + config_.carrier.window_bytes + (1u << 20));
+  EXPECT_LE(most,
+            config_.dispatcher.response_buffer_bytes + config_.dispatcher.stream_window_bytes + (1u << 20));
   reader.reset();
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -34,26 +34,26 @@
 
 TEST(Settings, ReadsWhatIsGivenAndKeepsDefaults) {
   const Settings s = parse_settings(kText);
-  EXPECT_TRUE(s.subscribe_discovery);
-  EXPECT_EQ(s.instances, 3);
-  EXPECT_EQ(s.kind_cores, (std::vector<double>{8, 16}));
-  EXPECT_EQ(s.memory_short, MemoryShort::kCut);
+  EXPECT_TRUE(s.watch_endpoints);
+  EXPECT_EQ(s.gateway_count, 3);
+  EXPECT_EQ(s.engine_type_cores, (std::vector<double>{8, 16}));
+  EXPECT_EQ(s.memory_pressure_policy, MemoryPressurePolicy::kReduceGrant);
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].aim_us, 1500000);
-  EXPECT_DOUBLE_EQ(s.classes[0].aim_stretch, 2);
+  EXPECT_EQ(s.classes[0].latency_objective_us, 1500000);
+  EXPECT_DOUBLE_EQ(s.classes[0].latency_objective_stretch, 2);
   EXPECT_DOUBLE_EQ(s.classes[1].threads, 4);
-  EXPECT_TRUE(s.classes[1].waits_for_loads);
-  EXPECT_EQ(s.classes[1].repeat, Repeat::kDedup);
-  EXPECT_EQ(s.classes[1].key_scope, KeyScope::kCell);
-  EXPECT_EQ(s.classes[1].only_zones, std::vector<int>{1});
-  EXPECT_EQ(s.classes[1].only_kinds, std::vector<int>{1});
-  EXPECT_TRUE(s.classes[1].in_order);
-  EXPECT_FALSE(s.attempts_rationed);
-  EXPECT_FALSE(s.second_copies);
+  EXPECT_TRUE(s.classes[1].blocked_by_table_loads);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kIdempotentWithKey);
+  EXPECT_EQ(s.classes[1].dedup_scope, DedupScope::kCell);
+  EXPECT_EQ(s.classes[1].allowed_zones, std::vector<int>{1});
+  EXPECT_EQ(s.classes[1].allowed_engine_types, std::vector<int>{1});
+  EXPECT_TRUE(s.classes[1].ordered_by_key);
+  EXPECT_FALSE(s.retry_budget_enabled);
+  EXPECT_FALSE(s.hedging_allowed);
 }
 
 TEST(Settings, ABudgetIsThereOnlyWithItsWindow) {
-  EXPECT_TRUE(parse_settings(std::string(kText) + "Rules.CountedOverUs=10000000\n").attempts_rationed);
+  EXPECT_TRUE(parse_settings(std::string(kText) + "Rules.CountedOverUs=10000000\n").retry_budget_enabled);
 }
 
 void expect_error(const std::string& text, const std::string& key) {
@@ -74,26 +74,26 @@
 }
 
 TEST(Settings, ReportFieldsKeepTheirOrder) {
-  EXPECT_EQ(parse_report_fields(kText), (std::vector<std::string>{"concurrent", "depth", "x0", "x1"}));
-  EXPECT_TRUE(parse_report_fields("").empty());
+  EXPECT_EQ(parse_load_report_fields(kText), (std::vector<std::string>{"concurrent", "depth", "x0", "x1"}));
+  EXPECT_TRUE(parse_load_report_fields("").empty());
 }
 
 TEST(Settings, ReadsTenantsAndWhereReportsComeFrom) {
   const std::string base = "Services.count=1\nServices.0.AimUs=1\nServices.0.DeadlineUs=2\n";
   const Settings plain = parse_settings(base);
   EXPECT_TRUE(plain.tenants.empty());
-  EXPECT_TRUE(plain.reports_in_answers && plain.reports_in_probes);
+  EXPECT_TRUE(plain.load_reports_in_responses && plain.load_reports_in_health_checks);
   const Settings s = parse_settings(base +
                                     "Tenants.count=2\nTenants.0.AllowancePerS=127.5\nOverShareWorth=0.2\n"
                                     "Report.Source=on_probe\nFees.Probe=0.01\n");
   ASSERT_EQ(s.tenants.size(), 2u);
-  EXPECT_DOUBLE_EQ(s.tenants[0].allowance_per_s, 127.5);
-  EXPECT_DOUBLE_EQ(s.tenants[1].allowance_per_s, 0);
-  EXPECT_DOUBLE_EQ(s.over_share_worth, 0.2);
-  EXPECT_DOUBLE_EQ(s.probe_fee, 0.01);
-  EXPECT_FALSE(s.reports_in_answers);
-  EXPECT_TRUE(s.reports_in_probes);
-  EXPECT_FALSE(parse_settings(base + "Report.Source=off\n").reports_in_probes);
+  EXPECT_DOUBLE_EQ(s.tenants[0].quota_requests_per_s, 127.5);
+  EXPECT_DOUBLE_EQ(s.tenants[1].quota_requests_per_s, 0);
+  EXPECT_DOUBLE_EQ(s.over_quota_weight_fraction, 0.2);
+  EXPECT_DOUBLE_EQ(s.health_check_cost, 0.01);
+  EXPECT_FALSE(s.load_reports_in_responses);
+  EXPECT_TRUE(s.load_reports_in_health_checks);
+  EXPECT_FALSE(parse_settings(base + "Report.Source=off\n").load_reports_in_health_checks);
   for (const char* bad :
        {"Tenants.count=-1\n", "Tenants.count=1\nTenants.0.AllowancePerS=-2\n", "Report.Source=sometimes\n"}) {
     EXPECT_THROW(parse_settings(base + bad), SettingsError) << bad;
--- a/tests/size_test.cpp
+++ b/tests/size_test.cpp
@@ -14,8 +14,8 @@
 namespace sablelink::test {
 namespace {
 
-std::vector<EngineEntry> engines(int n, TimeUs started = 0) {
-  std::vector<EngineEntry> list;
+std::vector<Endpoint> engines(int n, TimeUs started = 0) {
+  std::vector<Endpoint> list;
   for (int i = 1; i <= n; ++i) list.push_back(engine(i, 0, 0, started));
   return list;
 }
@@ -23,7 +23,7 @@
 // Does a lookup follow its table group to the engine whose last report, this old, was far over the other's?
 bool sent_to_reported_busy(TimeUs age) {
   Settings s = plain_settings();
-  s.instances = 200;
+  s.gateway_count = 200;
   Bench b(s);
   b.list(engines(2));
   b.request(1, 0, 5 * kSecond, 100'000, 7);
@@ -56,7 +56,7 @@
 TEST(Size, SharesUnderOneQueryAreUsedInTheSumAndNeverExceededByIt) {
   constexpr int kGateways = 200;
   Settings s = plain_settings();
-  s.instances = kGateways;
+  s.gateway_count = kGateways;
   const TimeUs start = 100 * kSecond;
   std::map<TimeUs, double> sent;  // work by 100 ms
   for (int g = 0; g < kGateways; ++g) {
@@ -88,7 +88,7 @@
   constexpr int kGateways = 30;
   constexpr double kWorkUs = 200'000;
   Settings s = plain_settings();
-  s.instances = kGateways;
+  s.gateway_count = kGateways;
   const TimeUs start = 100 * kSecond, step = 10 * kMs, warmed = start - 30 * kSecond;
   uint64_t draws = 7;
   const auto draw = [&] {  // 0 to 1
@@ -130,7 +130,7 @@
         return true;
       });
       for (const RequestId id : over)
-        b.end(id, draw() < 0.1 ? Outcome::kFull : Outcome::kOk, kWorkUs * (0.2 + 1.6 * draw()));
+        b.end(id, draw() < 0.1 ? Outcome::kOverloaded : Outcome::kOk, kWorkUs * (0.2 + 1.6 * draw()));
       for (; one.seen < b.actions.size(); ++one.seen) {
         const Action& a = b.actions[one.seen];
         if (a.kind != Action::kSend) continue;
@@ -142,10 +142,11 @@
   std::sort(sent.begin(), sent.end());
   size_t most = 0;
   for (size_t i = 0, j = 0; j < sent.size(); ++j) {
-    while (sent[j] - sent[i] > s.fall_us) ++i;
+    while (sent[j] - sent[i] > s.collapse_window_us) ++i;
     most = std::max(most, j - i + 1);
   }
-  const double allowed = s.fall_multiple * s.cold_from * 8 * s.fall_us / kWorkUs;
+  const double allowed =
+      s.collapse_load_multiple * s.slow_start_min_capacity_fraction * 8 * s.collapse_window_us / kWorkUs;
   EXPECT_GT(most, 10u) << "it gets its part all the same";
   EXPECT_LE(most, allowed + 2 * std::sqrt(allowed) + 2);
   RecordProperty("most_in_a_window", static_cast<int>(most));
@@ -168,7 +169,7 @@
 
 TEST(Size, OnAFullFleetHeavyQueriesWaitAndLightOnesPass) {
   Settings s = plain_settings();
-  s.instances = 200;
+  s.gateway_count = 200;
   Bench b(s);
   b.list(engines(4));
   for (RequestId id = 1; id <= 40; ++id) {  // every report says that the engines hold a hundred queries
@@ -185,20 +186,20 @@
 
 // Threads that this gateway has out once every answer said that the engines' memory is granted this many
 // times.
-double threads_out(MemoryShort when_short, double memory_share) {
+double threads_out(MemoryPressurePolicy when_short, double memory_share) {
   Settings s = plain_settings();
-  s.instances = 200;
-  s.memory_short = when_short;
+  s.gateway_count = 200;
+  s.memory_pressure_policy = when_short;
   Bench b(s);
   b.list(engines(4));
   for (RequestId id = 1; id <= 40; ++id) {
     QueryRequest r;
-    r.id = id, r.due_us = b.now() + 5 * kSecond, r.cost_us = 100'000, r.need_mb = 800;
+    r.id = id, r.deadline = b.now() + 5 * kSecond, r.estimated_cost_us = 100'000, r.estimated_memory_mb = 800;
     b.gateway().on_request(b.now(), r, b);
     b.run_for(50 * kMs);
     LoadReport report;
-    report.cpu_share = 0.2;  // busy cores fall once an engine pages
-    report.memory_share = memory_share;
+    report.cpu_utilization = 0.2;  // busy cores fall once an engine pages
+    report.memory_utilization = memory_share;
     if (b.sends(id) > 0) b.end(id, Outcome::kOk, 100'000, report);
   }
   for (RequestId id = 100; id < 130; ++id) b.request(id, 0, 5 * kSecond, 100'000);
@@ -208,14 +209,14 @@
 }
 
 TEST(Reports, MemoryInUseTellsAFullFleetWhereBusyCoresDoNot) {
-  EXPECT_GT(threads_out(MemoryShort::kOvercommit, 0.2), 20);
-  EXPECT_LT(threads_out(MemoryShort::kOvercommit, 3), 10)
+  EXPECT_GT(threads_out(MemoryPressurePolicy::kOvercommit, 0.2), 20);
+  EXPECT_LT(threads_out(MemoryPressurePolicy::kOvercommit, 3), 10)
       << "light ones wait, too, where all would slow down";
 }
 
 TEST(Size, AGatewayThatHeardOfAFullFleetSendsAgainThoughItHearsNoMore) {
   Settings s = plain_settings();
-  s.instances = 8;
+  s.gateway_count = 8;
   Bench b(s);
   b.list(engines(4));
   for (RequestId id = 1; id <= 40; ++id) {
@@ -242,7 +243,7 @@
 
 TEST(Size, OddFleetsAndPeersNeitherCrashNorBreakARule) {
   Settings s = plain_settings();
-  s.instances = 5000;
+  s.gateway_count = 5000;
   Bench b(s);
   b.list({});
   b.request(1, 0, 5 * kSecond);
@@ -251,7 +252,7 @@
   b.list(engines(1));
   b.request(3, 0, 5 * kSecond);
   b.list({});
-  b.gateway().on_peer_message(b.now(), 7, std::string_view("\xff\0\x01", 3), b);
+  b.gateway().on_gossip(b.now(), 7, std::string_view("\xff\0\x01", 3), b);
   b.stall(3 * kSecond);
   b.run_for(3 * kSecond);
   for (RequestId id = 1; id <= 3; ++id) {
