--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -143,7 +143,7 @@
     std::string sql = kStatement;
     Client& to = *clients_[next_++ % clients_.size()];
     const flightsql::QueryResult r = co_await to.query(std::move(sql), std::move(options));
-    if (r.verdict == carrier::RequestStatus::kServed)
+    if (r.verdict == dispatch::RequestStatus::kServed)
       times_.push_back(loop_.now() - from);
     else
       ++other_;
@@ -169,7 +169,7 @@
     const flightsql::QueryResult r =
         co_await clients_[0]->query(std::move(sql), std::move(options),
                                     [out](const auto&, const auto& batch) { out->rows += batch.rows; });
-    out->served = r.verdict == carrier::RequestStatus::kServed;
+    out->served = r.verdict == dispatch::RequestStatus::kServed;
     out->over = true;
   }
   rpc::Awaitable<void> held(std::string sql) {
--- a/src/audit/auditor.h
+++ b/src/audit/auditor.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "audit/rules.h"
-#include "gateway.h"
 #include "nodes/recorder.h"
+#include "workload/types.h"
 
 namespace sablelink::audit {
 
--- a/src/audit/rules.h
+++ b/src/audit/rules.h
@@ -15,9 +15,10 @@
 #include <string>
 #include <vector>
 
-#include "carrier/ports.h"
-#include "gateway.h"
+#include "dispatch/response_sink.h"
 #include "nodes/recorder.h"
+#include "workload/settings.h"
+#include "workload/types.h"
 
 namespace sablelink::audit {
 
@@ -39,11 +40,11 @@
 };
 
 // How a try ended whose answer came from its gateway.
-constexpr ClientRecord::End end_of(carrier::RequestStatus verdict) {
+constexpr ClientRecord::End end_of(dispatch::RequestStatus verdict) {
   switch (verdict) {
-    case carrier::RequestStatus::kServed:
+    case dispatch::RequestStatus::kServed:
       return ClientRecord::End::kServed;
-    case carrier::RequestStatus::kRejected:
+    case dispatch::RequestStatus::kRejected:
       return ClientRecord::End::kRefused;
     default:
       return ClientRecord::End::kFailed;
--- a/src/badday/process.h
+++ b/src/badday/process.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::badday {
 
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <functional>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink {
 
--- a/src/base/timer_heap.h
+++ b/src/base/timer_heap.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink {
 
--- a/src/cli/query.cpp
+++ b/src/cli/query.cpp
@@ -85,7 +85,7 @@
                                : client.query(options.statement, client_options, on_batch);
     result = loop.spawn(std::move(work)).get();
   }
-  if (result.verdict == carrier::RequestStatus::kServed) {
+  if (result.verdict == dispatch::RequestStatus::kServed) {
     if (options.update)
       std::printf("%" PRId64 " rows changed\n", result.updated);
     else if (!options.json)
@@ -96,7 +96,7 @@
                result.status.message.c_str());
   if (result.retry_after_us)
     std::fprintf(stderr, "sablelink: try again after %.3f s\n", *result.retry_after_us / 1e6);
-  return result.verdict == carrier::RequestStatus::kRejected ? kRefused : kFailed;
+  return result.verdict == dispatch::RequestStatus::kRejected ? kRefused : kFailed;
 }
 
 }  // namespace sablelink::cli
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -6,12 +6,14 @@
 #include <string_view>
 #include <vector>
 
-#include "carrier/carrier.h"
 #include "config/section.h"
 #include "config/selectors.h"
-#include "gateway.h"
+#include "dispatch/request_dispatcher.h"
 #include "schemas/planning.h"
 #include "schemas/store.h"
+#include "workload/events.h"
+#include "workload/settings.h"
+#include "workload/types.h"
 
 namespace sablelink::config {
 
@@ -44,7 +46,7 @@
   std::string listen;
   Settings settings;
   std::vector<std::string> class_names, zone_names, engine_type_names;
-  carrier::DispatcherLimits dispatcher;
+  dispatch::DispatcherLimits dispatcher;
   FlightSqlLimits flight_sql;
   schemas::StoreLimits schemas;
   schemas::PlanningLimits planning;
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::config {
 
--- a/src/config/selectors.h
+++ b/src/config/selectors.h
@@ -9,8 +9,8 @@
 #include <utility>
 #include <vector>
 
-#include "gateway.h"
 #include "sql/statement.h"
+#include "workload/types.h"
 
 namespace sablelink::config {
 
--- a/src/carrier/carrier.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -1,8 +1,8 @@
-#include "carrier/carrier.h"
+#include "dispatch/request_dispatcher.h"
 
 #include <algorithm>
 
-namespace sablelink::carrier {
+namespace sablelink::dispatch {
 
 constexpr TimeUs kStallUs = 20'000;  // a timer this late is worth a line in the log
 
@@ -556,4 +556,4 @@
   arm();
 }
 
-}  // namespace sablelink::carrier
+}  // namespace sablelink::dispatch
--- a/src/carrier/carrier.h
+++ b/src/dispatch/request_dispatcher.h
@@ -23,10 +23,16 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "carrier/ports.h"
-#include "gateway.h"
+#include "dispatch/attempt.h"
+#include "dispatch/endpoint_source.h"
+#include "dispatch/engine_transport.h"
+#include "dispatch/response_sink.h"
+#include "workload/events.h"
+#include "workload/settings.h"
+#include "workload/types.h"
+#include "workload/workload_manager.h"
 
-namespace sablelink::carrier {
+namespace sablelink::dispatch {
 
 struct DispatcherLimits {
   size_t max_open_requests = 20'000;       // requests held at a time; further ones are refused
@@ -43,15 +49,15 @@
   uint64_t attempts = 0, retries = 0, streamed_responses = 0;
   uint64_t buffer_limit_reached = 0;  // answers that flow as all together passed hold_bytes_all
   uint64_t disconnected_unread = 0;   // clients that left while part of their answers waited for them
-  uint64_t deadline_exceeded = 0;     // ended by the carrier's own check at the client's deadline
+  uint64_t deadline_exceeded = 0;     // ended by the dispatcher's own check at the client's deadline
   uint64_t timer_stalls = 0;          // timers that came 20 ms late or more
   TimeUs max_timer_delay_us = 0;      // the latest of all timers
-  uint64_t blocked_sends = 0;         // sends that the carrier itself wouldn't make; a defect of the policy
+  uint64_t blocked_sends = 0;  // sends that the dispatcher itself wouldn't make; a defect of the policy
 };
 
 class RequestDispatcher : private WorkloadManagerDelegate {
  public:
-  // The references must outlive the carrier.
+  // The references must outlive the dispatcher.
   RequestDispatcher(Settings settings, uint64_t seed, const DispatcherLimits& limits, Clock& clock,
                     EngineTransport& nodes, EndpointSource& lists, Log& log);
   ~RequestDispatcher() override;
@@ -188,7 +194,8 @@
   bool stopping_ = false;
   std::function<void()> on_idle_;
   DispatcherCounters counts_;
-  std::shared_ptr<RequestDispatcher*> self_;  // callbacks of the clock that outlive the carrier find it empty
+  std::shared_ptr<RequestDispatcher*>
+      self_;  // callbacks of the clock that outlive the dispatcher find it empty
 };
 
-}  // namespace sablelink::carrier
+}  // namespace sablelink::dispatch
--- a/src/flightsql/client.cpp
+++ b/src/flightsql/client.cpp
@@ -23,11 +23,11 @@
   out.from_gateway = end.status.ok() || !end.trailers.empty();
   const std::string_view verdict = rpc::find_value(end.trailers, kVerdictKey);
   if (verdict == "served" || (verdict.empty() && end.status.ok()))
-    out.verdict = carrier::RequestStatus::kServed;
+    out.verdict = dispatch::RequestStatus::kServed;
   else if (verdict == "refused" || (verdict.empty() && end.status.code == Code::kUnavailable))
-    out.verdict = carrier::RequestStatus::kRejected;
+    out.verdict = dispatch::RequestStatus::kRejected;
   else
-    out.verdict = carrier::RequestStatus::kFailed;
+    out.verdict = dispatch::RequestStatus::kFailed;
   out.reason = rpc::find_value(end.trailers, kReasonKey);
   out.attempts = find_number(end.trailers, kAttemptsKey, 0);
   out.schema_changed = rpc::find_value(end.trailers, kSchemaKey) == "changed";
@@ -131,7 +131,7 @@
   const rpc::CallEnd end = co_await made->finish();
   read_end(end, out);
   if (!problem.empty()) {
-    out.verdict = carrier::RequestStatus::kFailed;
+    out.verdict = dispatch::RequestStatus::kFailed;
     out.status = make_error(Code::kInternal, problem);
   }
   co_return out;
@@ -147,8 +147,8 @@
     out.connected = ticket.connected;
     out.status = ticket.status;
     // Nothing has run: GetFlightInfo does no work.
-    out.verdict = ticket.status.code == Code::kUnavailable ? carrier::RequestStatus::kRejected
-                                                           : carrier::RequestStatus::kFailed;
+    out.verdict = ticket.status.code == Code::kUnavailable ? dispatch::RequestStatus::kRejected
+                                                           : dispatch::RequestStatus::kFailed;
     co_return out;
   }
   QueryResult result = co_await fetch(std::move(ticket.ticket), std::move(options), std::move(on_batch));
@@ -157,7 +157,7 @@
     try {
       result.promised = arrowipc::decode_encapsulated_schema(info.schema());
     } catch (const arrowipc::FormatError& e) {
-      result.verdict = carrier::RequestStatus::kFailed;
+      result.verdict = dispatch::RequestStatus::kFailed;
       result.status = make_error(Code::kInternal, std::string("the FlightInfo's schema: ") + e.what());
     }
   }
@@ -170,7 +170,7 @@
   out.connected = !hindered || hindered->code != Code::kUnavailable;
   if (hindered) {
     out.status = *hindered;
-    if (!out.connected) out.verdict = carrier::RequestStatus::kRejected;
+    if (!out.connected) out.verdict = dispatch::RequestStatus::kRejected;
     co_return out;
   }
   fsql::CommandStatementUpdate command;
--- a/src/flightsql/client.h
+++ b/src/flightsql/client.h
@@ -9,7 +9,7 @@
 
 #include "arrowipc/array.h"
 #include "base/clock.h"
-#include "carrier/ports.h"
+#include "dispatch/response_sink.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::flightsql {
@@ -43,7 +43,7 @@
   bool from_gateway = false;  // the answer came from the gateway; else this side made the status up
   rpc::Status status;
   // As the gateway's trailers tell; where it sent none, from the status: UNAVAILABLE is a refusal.
-  carrier::RequestStatus verdict = carrier::RequestStatus::kFailed;
+  dispatch::RequestStatus verdict = dispatch::RequestStatus::kFailed;
   std::string reason;
   int attempts = 0;
   std::optional<TimeUs> retry_after_us;
--- a/src/flightsql/columns.cpp
+++ b/src/flightsql/columns.cpp
@@ -13,9 +13,9 @@
 
 namespace sablelink::flightsql {
 
-// A planning call's answer on its way from the carrier. Called from within the carrier's events, so what
-// waits only hears that there is news.
-class Columns::Sink : public carrier::ResponseSink {
+// A planning call's answer on its way from the dispatcher. Called from within the dispatcher's events, so
+// what waits only hears that there is news.
+class Columns::Sink : public dispatch::ResponseSink {
  public:
   Sink(Columns& columns, std::string key, schemas::Subject subject, std::string parameters_key)
       : columns_(columns),
@@ -26,19 +26,19 @@
 
   void write(std::string message) override { message_ = std::move(message); }
   bool consumes_immediately() const override { return true; }
-  void finish(const carrier::FinalResponse& answer) override {
+  void finish(const dispatch::FinalResponse& answer) override {
     wire::Plan plan;
-    carrier::EngineError fault;
+    dispatch::EngineError fault;
     const TimeUs now = columns_.clock_.now();
-    if (answer.status == carrier::RequestStatus::kServed && plan.ParseFromString(message_)) {
+    if (answer.status == dispatch::RequestStatus::kServed && plan.ParseFromString(message_)) {
       if (!plan.dataset().empty()) columns_.store_.learn(now, subject_, plan.dataset(), asked_);
       if (plan.has_parameters() && !parameters_key_.empty())
         columns_.store_.learn(now, {parameters_key_, subject_.tables}, plan.parameters(), asked_);
     } else {
-      columns_.log_.info("plan_failed", {{"verdict", carrier::request_status_name(answer.status)},
-                                         {"reason", carrier::completion_reason_name(answer.reason)},
+      columns_.log_.info("plan_failed", {{"verdict", dispatch::request_status_name(answer.status)},
+                                         {"reason", dispatch::completion_reason_name(answer.reason)},
                                          {"error", answer.error.message}});
-      if (answer.reason == carrier::CompletionReason::kStatementError) fault = answer.error;
+      if (answer.reason == dispatch::CompletionReason::kStatementError) fault = answer.error;
     }
     columns_.ended(key_, fault);
   }
@@ -53,12 +53,12 @@
 };
 
 Columns::Columns(const schemas::StoreLimits& store, const schemas::PlanningLimits& planning,
-                 int planning_class, uint64_t life, carrier::RequestDispatcher& carrier, Clock& clock,
+                 int planning_class, uint64_t life, dispatch::RequestDispatcher& dispatcher, Clock& clock,
                  Log& log)
     : limits_(planning),
       class_(planning_class),
       life_(life),
-      carrier_(carrier),
+      dispatcher_(dispatcher),
       clock_(clock),
       log_(log),
       store_(store),
@@ -88,15 +88,16 @@
   QueryRequest query;
   query.class_index = class_;
   query.deadline = clock_.now() + limits_.time_us;
-  auto statement = std::make_shared<carrier::Statement>();
+  auto statement = std::make_shared<dispatch::Statement>();
   statement->text = text;
-  statement->kind = carrier::ExecutionKind::kPlan;
+  statement->kind = dispatch::ExecutionKind::kPlan;
   statement->client_tag = std::string(kPlanTag) + std::to_string(life_) + "/" + std::to_string(++last_call_);
   log_.write(LogLevel::kInfo, kPlanEvent, {{"tag", statement->client_tag}});
-  carrier_.submit(query, std::move(statement), std::make_shared<Sink>(*this, key, subject, parameters_key));
+  dispatcher_.submit(query, std::move(statement),
+                     std::make_shared<Sink>(*this, key, subject, parameters_key));
 }
 
-void Columns::ended(const std::string& key, const carrier::EngineError& error) {
+void Columns::ended(const std::string& key, const dispatch::EngineError& error) {
   for (const schemas::Planning::Waiter waiter : planning_.ended(key)) {
     const auto it = waiting_.find(waiter);
     if (it == waiting_.end()) continue;
--- a/src/flightsql/columns.h
+++ b/src/flightsql/columns.h
@@ -1,7 +1,7 @@
 // The columns of statements, as clients are told them before anything has run: from the store where answers
 // or plans have shown them, else by a planning call, else not at all. One instance serves one gateway's
-// front, on the carrier's strand; what is rationed is decided by schemas::Planning, where a call goes by the
-// decision module.
+// front, on the dispatcher's strand; what is rationed is decided by schemas::Planning, where a call goes by
+// the decision module.
 #pragma once
 
 #include <functional>
@@ -13,7 +13,7 @@
 #include "base/clock.h"
 #include "base/log.h"
 #include "base/signal.h"
-#include "carrier/carrier.h"
+#include "dispatch/request_dispatcher.h"
 #include "rpc/rpc.h"
 #include "schemas/planning.h"
 #include "schemas/store.h"
@@ -25,7 +25,7 @@
  public:
   // life names this gateway's start in the tags of planning calls. The references must outlive it.
   Columns(const schemas::StoreLimits& store, const schemas::PlanningLimits& planning, int planning_class,
-          uint64_t life, carrier::RequestDispatcher& carrier, Clock& clock, Log& log);
+          uint64_t life, dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log);
   ~Columns();
   Columns(const Columns&) = delete;
   Columns& operator=(const Columns&) = delete;
@@ -33,7 +33,7 @@
   // Schemas are encapsulated Arrow IPC messages; empty: not known.
   struct Told {
     std::string dataset, parameters;
-    carrier::EngineError error;  // of an engine that says that the statement is at fault; code 0: none does
+    dispatch::EngineError error;  // of an engine that says that the statement is at fault; code 0: none does
   };
   // For how the statement's class reaches engines, the key of its columns holds that class: another may be
   // bound to other engines, which may hold other tables.
@@ -63,17 +63,17 @@
   class Sink;
   struct Waiting {
     Signal over;
-    carrier::EngineError error;
+    dispatch::EngineError error;
   };
 
   void ask(const std::string& key, const std::string& text, const schemas::Subject& subject,
            const std::string& parameters_key);
-  void ended(const std::string& key, const carrier::EngineError& error);
+  void ended(const std::string& key, const dispatch::EngineError& error);
 
   const schemas::PlanningLimits limits_;
   const int class_;
   const uint64_t life_;
-  carrier::RequestDispatcher& carrier_;
+  dispatch::RequestDispatcher& dispatcher_;
   Clock& clock_;
   Log& log_;
   schemas::Store store_;
--- a/src/flightsql/node_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -1,4 +1,4 @@
-#include "flightsql/node_client.h"
+#include "flightsql/engine_client.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -14,12 +14,12 @@
 namespace sablelink::flightsql {
 namespace {
 
-using carrier::AttemptId;
-using carrier::AttemptResult;
-using carrier::AttemptSpec;
+using dispatch::AttemptId;
+using dispatch::AttemptResult;
+using dispatch::AttemptSpec;
 using rpc::Awaitable;
 
-constexpr TimeUs kProbeMostUs = 10'000'000;  // the carrier gives a probe up before
+constexpr TimeUs kProbeMostUs = 10'000'000;  // the dispatcher gives a probe up before
 constexpr size_t kNoteBytes = 256;           // a longer message holds data
 
 std::string method(std::string_view name) { return std::string(kServicePrefix) + std::string(name); }
@@ -129,9 +129,9 @@
     result.error = {static_cast<int>(rpc::Code::kUnavailable), "no connection to the node"};
   } else if (task->dropped) {
     co_return;
-  } else if (order.statement->kind == carrier::ExecutionKind::kUpdate) {
+  } else if (order.statement->kind == dispatch::ExecutionKind::kUpdate) {
     result = co_await update(task, to, order);
-  } else if (order.statement->kind == carrier::ExecutionKind::kPlan) {
+  } else if (order.statement->kind == dispatch::ExecutionKind::kPlan) {
     result = co_await plan(task, to, order);
   } else {
     result = co_await query(task, to, order);
@@ -139,7 +139,7 @@
   task->call = nullptr;
   if (task->dropped) co_return;
   running_.erase(number_of(task->key));
-  carrier_->on_attempt_completed(task->key, result);
+  dispatcher_->on_attempt_completed(task->key, result);
 }
 
 Awaitable<rpc::CallEnd> FlightSqlEngineClient::relay(std::shared_ptr<Task> task) {
@@ -147,10 +147,10 @@
   while (std::optional<std::string> message = co_await call->read()) {
     if (task->dropped) break;
     if (const auto note = note_of(*message)) {
-      carrier_->on_attempt_progress(task->key, static_cast<ProgressKind>(note->kind() - 1), note->value());
+      dispatcher_->on_attempt_progress(task->key, static_cast<ProgressKind>(note->kind() - 1), note->value());
       continue;
     }
-    if (!carrier_->on_attempt_message(task->key, std::move(*message))) task->paused = true;
+    if (!dispatcher_->on_attempt_message(task->key, std::move(*message))) task->paused = true;
     while (task->paused && !task->dropped) co_await task->resumed.wait();
   }
   rpc::CallEnd end;
@@ -244,7 +244,7 @@
   }
   if (!handle.empty()) spawn(forget_prepared(to, std::move(handle)));
   std::string bytes = found.SerializeAsString();
-  carrier_->on_attempt_message(task->key, std::move(bytes));
+  dispatcher_->on_attempt_message(task->key, std::move(bytes));
   co_return result;
 }
 
@@ -291,7 +291,7 @@
   bool connected = false;
   if (to) connected = co_await to->connect(options_.dial_timeout_us);
   if (!connected) {
-    carrier_->on_health_check_completed(probe, Outcome::kConnectFailed, std::nullopt);
+    dispatcher_->on_health_check_completed(probe, Outcome::kConnectFailed, std::nullopt);
     co_return;
   }
   const std::shared_ptr<rpc::ClientCall> call = to->call(method("GetFlightInfo"), {}, kProbeMostUs);
@@ -302,7 +302,7 @@
   const AttemptResult result = map_call_end(end);
   // A server that doesn't know the question is alive.
   const Outcome outcome = result.is_statement_error ? Outcome::kOk : result.outcome;
-  carrier_->on_health_check_completed(probe, outcome, result.load_report);
+  dispatcher_->on_health_check_completed(probe, outcome, result.load_report);
 }
 
 // Channels close once the last call on them has ended; the next attempt dials anew.
--- a/src/flightsql/node_client.h
+++ b/src/flightsql/engine_client.h
@@ -10,8 +10,9 @@
 #include <vector>
 
 #include "base/log.h"
-#include "carrier/carrier.h"
-#include "carrier/ports.h"
+#include "dispatch/attempt.h"
+#include "dispatch/engine_transport.h"
+#include "dispatch/request_dispatcher.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::flightsql {
@@ -22,8 +23,8 @@
   size_t connections = 1;  // to each node
 };
 
-// Everything happens on the executor, a strand, which is the carrier's as well.
-class FlightSqlEngineClient : public carrier::EngineTransport {
+// Everything happens on the executor, a strand, which is the dispatcher's as well.
+class FlightSqlEngineClient : public dispatch::EngineTransport {
  public:
   using AddressOf = std::function<std::string(EngineId)>;
 
@@ -32,11 +33,11 @@
                         rpc::ChannelFactory& channels, AddressOf address_of);
   ~FlightSqlEngineClient() override;
   // Where attempts' news goes; set once, before anything is started.
-  void set_carrier(carrier::RequestDispatcher* carrier) { carrier_ = carrier; }
+  void set_carrier(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
-  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override;
-  void cancel(carrier::AttemptId key) override;
-  void resume(carrier::AttemptId key) override;
+  void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override;
+  void cancel(dispatch::AttemptId key) override;
+  void resume(dispatch::AttemptId key) override;
   void check_health(uint32_t probe, EngineId engine) override;
   void close_idle_connections(EngineId engine) override;
 
@@ -52,35 +53,35 @@
     std::vector<std::shared_ptr<rpc::Channel>> channels;
     size_t next = 0;
   };
-  static uint64_t number_of(carrier::AttemptId key) {
+  static uint64_t number_of(dispatch::AttemptId key) {
     return uint64_t{key.request} << 8 | (key.number & 0xff);
   }
 
   std::shared_ptr<rpc::Channel> channel(EngineId engine);
-  rpc::Awaitable<void> run(std::shared_ptr<Task> task, EngineId engine, carrier::AttemptSpec order);
+  rpc::Awaitable<void> run(std::shared_ptr<Task> task, EngineId engine, dispatch::AttemptSpec order);
   rpc::Awaitable<void> ask(uint32_t probe, EngineId engine);
   template <typename Coroutine>
   void spawn(Coroutine coroutine);
-  rpc::Awaitable<carrier::AttemptResult> query(std::shared_ptr<Task> task,
-                                               std::shared_ptr<rpc::Channel> channel,
-                                               const carrier::AttemptSpec& order);
-  rpc::Awaitable<carrier::AttemptResult> update(std::shared_ptr<Task> task,
+  rpc::Awaitable<dispatch::AttemptResult> query(std::shared_ptr<Task> task,
                                                 std::shared_ptr<rpc::Channel> channel,
-                                                const carrier::AttemptSpec& order);
+                                                const dispatch::AttemptSpec& order);
+  rpc::Awaitable<dispatch::AttemptResult> update(std::shared_ptr<Task> task,
+                                                 std::shared_ptr<rpc::Channel> channel,
+                                                 const dispatch::AttemptSpec& order);
   // Asks for a statement's columns; nothing is run.
-  rpc::Awaitable<carrier::AttemptResult> plan(std::shared_ptr<Task> task,
-                                              std::shared_ptr<rpc::Channel> channel,
-                                              const carrier::AttemptSpec& order);
+  rpc::Awaitable<dispatch::AttemptResult> plan(std::shared_ptr<Task> task,
+                                               std::shared_ptr<rpc::Channel> channel,
+                                               const dispatch::AttemptSpec& order);
   rpc::Awaitable<void> forget_prepared(std::shared_ptr<rpc::Channel> channel, std::string handle);
   // Hands the answer's messages on until there are no more.
   rpc::Awaitable<rpc::CallEnd> relay(std::shared_ptr<Task> task);
-  rpc::Metadata metadata(carrier::AttemptId key, const carrier::AttemptSpec& order) const;
+  rpc::Metadata metadata(dispatch::AttemptId key, const dispatch::AttemptSpec& order) const;
 
   const FlightSqlEngineClientOptions options_;
   boost::asio::any_io_executor executor_;
   rpc::ChannelFactory& channels_;
   AddressOf address_of_;
-  carrier::RequestDispatcher* carrier_ = nullptr;
+  dispatch::RequestDispatcher* dispatcher_ = nullptr;
   std::unordered_map<EngineId, Node> nodes_;
   std::unordered_map<uint64_t, std::shared_ptr<Task>> running_;
   size_t busy_ = 0;
--- a/src/flightsql/front.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -1,4 +1,4 @@
-#include "flightsql/front.h"
+#include "flightsql/flight_sql_server.h"
 
 #include <algorithm>
 #include <array>
@@ -87,14 +87,14 @@
 
 }  // namespace
 
-// One request's answer on its way from the carrier to the client's call.
-class FlightSqlServer::Reply : public carrier::ResponseSink {
+// One request's answer on its way from the dispatcher to the client's call.
+class FlightSqlServer::Reply : public dispatch::ResponseSink {
  public:
   void write(std::string message) override {
     queue.push_back(std::move(message));
     changed.give();
   }
-  void finish(const carrier::FinalResponse& end) override {
+  void finish(const dispatch::FinalResponse& end) override {
     answer = end;
     changed.give();
   }
@@ -110,25 +110,25 @@
   schemas::Store::Moment asked = 0;
   bool other_schema = false;
   std::deque<std::string> queue;
-  std::optional<carrier::FinalResponse> answer;
+  std::optional<dispatch::FinalResponse> answer;
   bool gone = false, cancelled = false;
   Signal changed;
 };
 
 FlightSqlServer::FlightSqlServer(const config::GatewayConfig& config, const FlightSqlServerSeeds& seeds,
-                                 carrier::RequestDispatcher& carrier, Clock& clock, Log& log)
+                                 dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log)
     : limits_(config.flight_sql),
       selectors_(config.selectors),
       classes_(config.settings.classes),
       most_wait_us_(config.planning.wait_us),
-      carrier_(carrier),
+      dispatcher_(dispatcher),
       clock_(clock),
       log_(log),
       tickets_(seeds.life, seeds.secret),
       prepared_(
           {config.flight_sql.prepared, config.flight_sql.prepared_bytes, config.flight_sql.prepared_idle_us},
           seeds.handles),
-      columns_(config.schemas, config.planning, config.planning_class, seeds.life, carrier, clock, log) {}
+      columns_(config.schemas, config.planning, config.planning_class, seeds.life, dispatcher, clock, log) {}
 
 FlightSqlServer::~FlightSqlServer() = default;
 
@@ -266,7 +266,7 @@
 }
 
 // An engine says that the statement is at fault: what asks for a plan alone is told so.
-[[noreturn]] void plan_failed(const carrier::EngineError& error) {
+[[noreturn]] void plan_failed(const dispatch::EngineError& error) {
   throw CallError(static_cast<Code>(error.code), error.message);
 }
 
@@ -417,8 +417,8 @@
   Ran ran;
   size_t& open = open_by_peer_[call->peer()];
   if (open >= limits_.open_per_connection) {
-    ran.answer.status = carrier::RequestStatus::kRejected;
-    ran.answer.reason = carrier::CompletionReason::kConnectionLimit;
+    ran.answer.status = dispatch::RequestStatus::kRejected;
+    ran.answer.reason = dispatch::CompletionReason::kConnectionLimit;
     co_return ran;
   }
   ++open;
@@ -426,9 +426,9 @@
   const QueryRequest query = request_of(*call, placed, update, repeat);
   const bool defines = placed.info.kind == sql::StatementKind::kDefinition;
   if (defines) columns_.defined(placed.info.tables);
-  auto statement = std::make_shared<carrier::Statement>();
+  auto statement = std::make_shared<dispatch::Statement>();
   statement->text = placed.text;
-  statement->kind = update ? carrier::ExecutionKind::kUpdate : carrier::ExecutionKind::kQuery;
+  statement->kind = update ? dispatch::ExecutionKind::kUpdate : dispatch::ExecutionKind::kQuery;
   statement->client_tag = rpc::find_value(call->metadata(), kClientTagKey);
 
   const auto reply = std::make_shared<Reply>();
@@ -437,15 +437,15 @@
     reply->promised = ticket.promised;
     reply->asked = columns_.moment();
   }
-  reply->id = carrier_.submit(query, std::move(statement), reply);
+  reply->id = dispatcher_.submit(query, std::move(statement), reply);
   std::multimap<uint64_t, std::weak_ptr<Reply>>::iterator listed = running_.end();
   if (serial != 0) listed = running_.emplace(serial, reply);
   call->on_cancelled([this, reply] {
-    carrier_.on_client_disconnected(reply->id);
+    dispatcher_.on_client_disconnected(reply->id);
     reply->abort(false);
   });
   co_await forward(call, reply, update, &ran.message);
-  carrier_.on_client_disconnected(
+  dispatcher_.on_client_disconnected(
       reply->id);  // what isn't consumed is nobody's any more; nothing where it is over
   if (listed != running_.end()) running_.erase(listed);
   const auto peer = open_by_peer_.find(call->peer());
@@ -472,18 +472,18 @@
             columns_.answered(subject, message, reply->promised, reply->asked) == Columns::Seen::kOther;
       }
       if (update || (reply->answer && reply->queue.empty() &&
-                     reply->answer->status == carrier::RequestStatus::kServed)) {
+                     reply->answer->status == dispatch::RequestStatus::kServed)) {
         *kept = std::move(message);  // goes out together with the end, or is the caller's
-        carrier_.on_response_consumed(reply->id, size);
+        dispatcher_.on_response_consumed(reply->id, size);
         continue;
       }
       const bool written = co_await call->write(std::move(message));
       if (!written) {
-        carrier_.on_client_disconnected(reply->id);
+        dispatcher_.on_client_disconnected(reply->id);
         reply->abort(false);
         co_return;
       }
-      carrier_.on_response_consumed(reply->id, size);
+      dispatcher_.on_response_consumed(reply->id, size);
     }
     if (reply->answer || reply->gone || reply->cancelled) co_return;
     co_await reply->changed.wait();
@@ -578,12 +578,12 @@
       wrong(e.what());
     }
     ran = co_await run(call, std::move(text), true, none, false);
-    if (ran.gone || ran.cancelled || ran.answer.status != carrier::RequestStatus::kServed) {
+    if (ran.gone || ran.cancelled || ran.answer.status != dispatch::RequestStatus::kServed) {
       // Whatever the reason, earlier rows have run: a promise that trying again is harmless would be wrong.
       if (i > 0 && !ran.gone && !ran.cancelled) {
-        ran.answer.status = carrier::RequestStatus::kFailed;
-        if (ran.answer.reason != carrier::CompletionReason::kStatementError)
-          ran.answer.reason = carrier::CompletionReason::kPolicyDecision;
+        ran.answer.status = dispatch::RequestStatus::kFailed;
+        if (ran.answer.reason != dispatch::CompletionReason::kStatementError)
+          ran.answer.reason = dispatch::CompletionReason::kPolicyDecision;
         ran.answer.error.message = "row " + std::to_string(i + 1) + " of " + std::to_string(rows.size()) +
                                    ", earlier ones have run: " + ran.answer.error.message;
         if (ran.answer.error.code == 0) ran.answer.error.code = static_cast<int>(Code::kUnknown);
@@ -595,7 +595,7 @@
     if (put.ParseFromString(ran.message) && result.ParseFromString(put.app_metadata()))
       records += result.record_count();
   }
-  if (ran.answer.status == carrier::RequestStatus::kServed && !ran.gone && !ran.cancelled) {
+  if (ran.answer.status == dispatch::RequestStatus::kServed && !ran.gone && !ran.cancelled) {
     fsql::DoPutUpdateResult result;
     result.set_record_count(records);
     flight::PutResult put;
@@ -697,7 +697,7 @@
     for (auto it = begin; it != end; ++it) {
       const std::shared_ptr<Reply> reply = it->second.lock();
       if (!reply || reply->answer) continue;
-      carrier_.on_client_disconnected(reply->id);
+      dispatcher_.on_client_disconnected(reply->id);
       reply->abort(true);
       found = true;
     }
--- a/src/flightsql/front.h
+++ b/src/flightsql/flight_sql_server.h
@@ -1,5 +1,5 @@
-// The Flight SQL front: takes clients' calls, hands requests to the carrier and gives its answers back. One
-// instance serves one gateway, on the carrier's strand.
+// The Flight SQL front: takes clients' calls, hands requests to the dispatcher and gives its answers back.
+// One instance serves one gateway, on the dispatcher's strand.
 //
 // A statement is taken when DoGet (or DoPut, for updates) comes: GetFlightInfo only hands out a ticket.
 #pragma once
@@ -12,8 +12,8 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "carrier/carrier.h"
 #include "config/gateway_config.h"
+#include "dispatch/request_dispatcher.h"
 #include "flightsql/columns.h"
 #include "flightsql/messages.h"
 #include "flightsql/prepared.h"
@@ -31,7 +31,7 @@
  public:
   // The references must outlive the front, and the front all calls given to handle().
   FlightSqlServer(const config::GatewayConfig& config, const FlightSqlServerSeeds& seeds,
-                  carrier::RequestDispatcher& carrier, Clock& clock, Log& log);
+                  dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log);
   ~FlightSqlServer();
 
   // Serves one call, of any method.
@@ -72,7 +72,7 @@
   rpc::Awaitable<Columns::Told> columns_of(CallPtr call, std::string text, bool with_parameters);
 
   struct Ran {
-    carrier::FinalResponse answer;
+    dispatch::FinalResponse answer;
     bool other_schema = false;  // than was promised
     bool gone = false;          // the client has left
     bool cancelled = false;
@@ -100,7 +100,7 @@
   config::SelectorSettings selectors_;
   const std::vector<ClassSettings> classes_;
   const TimeUs most_wait_us_;  // for plans, in one call
-  carrier::RequestDispatcher& carrier_;
+  dispatch::RequestDispatcher& dispatcher_;
   Clock& clock_;
   Log& log_;
   TicketOffice tickets_;
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -4,8 +4,8 @@
 #include <cstdio>
 #include <cstring>
 
-#include "random.h"
 #include "sql/statement.h"
+#include "workload/random.h"
 
 namespace sablelink::flightsql {
 namespace {
--- a/src/flightsql/prepared.h
+++ b/src/flightsql/prepared.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "arrowipc/array.h"
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::flightsql {
 
--- a/src/flightsql/terms.cpp
+++ b/src/flightsql/terms.cpp
@@ -118,8 +118,8 @@
   return out;
 }
 
-carrier::AttemptResult map_call_end(const rpc::CallEnd& end) {
-  carrier::AttemptResult out;
+dispatch::AttemptResult map_call_end(const rpc::CallEnd& end) {
+  dispatch::AttemptResult out;
   const NodeReport report = decode_report(rpc::find_value(end.trailers, kLoadReportKey));
   out.load_report = report.load;
   if (end.status.ok()) {
@@ -146,14 +146,14 @@
 
 namespace {
 
-std::string describe(const carrier::FinalResponse& answer) {
-  using carrier::CompletionReason;
+std::string describe(const dispatch::FinalResponse& answer) {
+  using dispatch::CompletionReason;
   std::string text;
   switch (answer.reason) {
     case CompletionReason::kCompleted:
       break;
     case CompletionReason::kPolicyDecision:
-      text = answer.status == carrier::RequestStatus::kRejected
+      text = answer.status == dispatch::RequestStatus::kRejected
                  ? "refused: no node can serve this in time; trying again is harmless"
                  : "failed: the request may have run";
       break;
@@ -172,7 +172,7 @@
       text = "failed: the answer broke off after its start";
       break;
     case CompletionReason::kDeadlineExceeded:
-      text = answer.status == carrier::RequestStatus::kRejected
+      text = answer.status == dispatch::RequestStatus::kRejected
                  ? "refused: the request's time is up; it was not sent to a node"
                  : "failed: the request's time is up; it may have run";
       break;
@@ -183,20 +183,20 @@
   return text;
 }
 
-std::string detail_reason(carrier::CompletionReason reason) {
-  std::string name = carrier::completion_reason_name(reason);
+std::string detail_reason(dispatch::CompletionReason reason) {
+  std::string name = dispatch::completion_reason_name(reason);
   for (char& c : name) c = c == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
   return name;
 }
 
 }  // namespace
 
-ClientEnd map_final_answer(const carrier::FinalResponse& answer) {
-  using carrier::CompletionReason;
-  using carrier::RequestStatus;
+ClientEnd map_final_answer(const dispatch::FinalResponse& answer) {
+  using dispatch::CompletionReason;
+  using dispatch::RequestStatus;
   ClientEnd out;
-  out.trailers.emplace_back(kVerdictKey, carrier::request_status_name(answer.status));
-  out.trailers.emplace_back(kReasonKey, carrier::completion_reason_name(answer.reason));
+  out.trailers.emplace_back(kVerdictKey, dispatch::request_status_name(answer.status));
+  out.trailers.emplace_back(kReasonKey, dispatch::completion_reason_name(answer.reason));
   out.trailers.emplace_back(kAttemptsKey, std::to_string(answer.attempts));
   if (answer.status == RequestStatus::kServed) return out;
   if (answer.reason == CompletionReason::kStatementError) {
--- a/src/flightsql/terms.h
+++ b/src/flightsql/terms.h
@@ -7,9 +7,11 @@
 #include <string>
 #include <string_view>
 
-#include "carrier/ports.h"
-#include "gateway.h"
+#include "dispatch/attempt.h"
+#include "dispatch/response_sink.h"
 #include "rpc/rpc.h"
+#include "workload/events.h"
+#include "workload/types.h"
 
 namespace sablelink::flightsql {
 
@@ -81,13 +83,13 @@
 
 // How an attempt's call ended, as an outcome. Proof that nothing ran is only a node's own NOT_ADMITTED; where
 // no connection was had there is no call.
-carrier::AttemptResult map_call_end(const rpc::CallEnd& end);
+dispatch::AttemptResult map_call_end(const rpc::CallEnd& end);
 
 // The final answer as the client's call sees it.
 struct ClientEnd {
   rpc::Status status;
   rpc::Metadata trailers;
 };
-ClientEnd map_final_answer(const carrier::FinalResponse& answer);
+ClientEnd map_final_answer(const dispatch::FinalResponse& answer);
 
 }  // namespace sablelink::flightsql
--- a/src/membership/directory.cpp
+++ b/src/membership/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include "membership/directory.h"
+#include "membership/endpoint_registry.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/membership/directory.h
+++ b/src/membership/endpoint_registry.h
@@ -9,7 +9,8 @@
 #include <vector>
 
 #include "config/gateway_config.h"
-#include "gateway.h"
+#include "workload/events.h"
+#include "workload/types.h"
 
 namespace sablelink::membership {
 
--- a/src/nodes/engine.h
+++ b/src/nodes/engine.h
@@ -10,7 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/events.h"
+#include "workload/types.h"
 
 namespace sablelink::nodes {
 
--- a/src/nodes/recorder.h
+++ b/src/nodes/recorder.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::nodes {
 
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -242,7 +242,7 @@
     google::protobuf::Any any;
     fsql::TicketStatementQuery handle;
     if (ticket.ParseFromString(*message) && any.ParseFromString(ticket.ticket()) && any.UnpackTo(&handle)) {
-      co_await execute(call, handle.statement_handle(), carrier::ExecutionKind::kQuery, false);
+      co_await execute(call, handle.statement_handle(), dispatch::ExecutionKind::kQuery, false);
       co_return;
     }
   } else if (message && method == "DoPut") {
@@ -251,7 +251,7 @@
     fsql::CommandStatementUpdate command;
     if (data.ParseFromString(*message) && any.ParseFromString(data.flight_descriptor().cmd()) &&
         any.UnpackTo(&command)) {
-      co_await execute(call, command.query(), carrier::ExecutionKind::kUpdate, false);
+      co_await execute(call, command.query(), dispatch::ExecutionKind::kUpdate, false);
       co_return;
     }
   } else if (message && method == "GetSchema") {
@@ -260,7 +260,7 @@
     fsql::CommandStatementQuery command;
     if (descriptor.ParseFromString(*message) && any.ParseFromString(descriptor.cmd()) &&
         any.UnpackTo(&command)) {
-      co_await execute(call, command.query(), carrier::ExecutionKind::kPlan, false);
+      co_await execute(call, command.query(), dispatch::ExecutionKind::kPlan, false);
       co_return;
     }
   } else if (message && method == "DoAction") {
@@ -269,7 +269,7 @@
     fsql::ActionCreatePreparedStatementRequest request;
     if (action.ParseFromString(*message) && any.ParseFromString(action.body())) {
       if (any.UnpackTo(&request)) {
-        co_await execute(call, request.query(), carrier::ExecutionKind::kPlan, true);
+        co_await execute(call, request.query(), dispatch::ExecutionKind::kPlan, true);
         co_return;
       }
       if (any.Is<fsql::ActionClosePreparedStatementRequest>()) {
@@ -302,9 +302,10 @@
   co_return !job->cancelled;
 }
 
-Awaitable<void> StandIn::execute(CallPtr call, std::string statement, carrier::ExecutionKind task,
+Awaitable<void> StandIn::execute(CallPtr call, std::string statement, dispatch::ExecutionKind task,
                                  bool prepares) {
-  const bool update = task == carrier::ExecutionKind::kUpdate, plans = task == carrier::ExecutionKind::kPlan;
+  const bool update = task == dispatch::ExecutionKind::kUpdate,
+             plans = task == dispatch::ExecutionKind::kPlan;
   const rpc::Metadata& metadata = call->metadata();
   const auto job = std::make_shared<Job>();
   job->id = ++last_job_;
@@ -322,7 +323,7 @@
   job->tag = rpc::find_value(metadata, kClientTagKey);
   job->attempt = find_number(metadata, kAttemptKey, 0);
   job->update = update;
-  job->notes_go = task == carrier::ExecutionKind::kQuery;
+  job->notes_go = task == dispatch::ExecutionKind::kQuery;
   if (job->hint.on_attempt >= 0 && job->hint.on_attempt != job->attempt) job->hint.mishap = Mishap::kNone;
   Mishap mishap = job->hint.mishap;
   if (struck_by(FaultKind::kHang))
--- a/src/nodes/stand_in.h
+++ b/src/nodes/stand_in.h
@@ -9,7 +9,7 @@
 
 #include "arrowipc/array.h"
 #include "base/clock.h"
-#include "carrier/ports.h"
+#include "dispatch/attempt.h"
 #include "nodes/content.h"
 #include "nodes/engine.h"
 #include "nodes/node_config.h"
@@ -40,7 +40,7 @@
   using CallPtr = std::shared_ptr<rpc::ServerCall>;
 
   // prepares: a plan is told as a prepared statement.
-  rpc::Awaitable<void> execute(CallPtr call, std::string statement, carrier::ExecutionKind task,
+  rpc::Awaitable<void> execute(CallPtr call, std::string statement, dispatch::ExecutionKind task,
                                bool prepares);
   rpc::Awaitable<bool> work(std::shared_ptr<Job> job);
   Content content_of(const std::string& statement) const;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "settings.h"
+#include "workload/settings_parser.h"
 
 namespace sablelink::platform {
 namespace {
--- a/src/platform/change_log.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -1,4 +1,4 @@
-#include "platform/change_log.h"
+#include "platform/endpoints/endpoint_watcher.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
--- a/src/platform/node_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -1,4 +1,4 @@
-#include "platform/node_client.h"
+#include "platform/engine_client/engine_client.h"
 
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
@@ -88,7 +88,7 @@
 
 // ---- Attempts ------------------------------------------------------------------------------------------
 
-void EngineClient::start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) {
+void EngineClient::start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) {
   const auto query = std::make_shared<Query>();
   query->key = key;
   query->engine = engine;
@@ -109,7 +109,7 @@
   wake(node, 0);  // what comes of it must not be told within this call
 }
 
-void EngineClient::cancel(carrier::AttemptId key) {
+void EngineClient::cancel(dispatch::AttemptId key) {
   const auto it = queries_.find({key.request, key.number});
   if (it == queries_.end()) return;
   const QueryPtr query = it->second;
@@ -121,7 +121,7 @@
   // The platform's nodes have no call for it.
   clock_.call_after(0, [self = self_, probe] {
     if (*self != nullptr)
-      (*self)->carrier_->on_health_check_completed(probe, Outcome::kConnectFailed, std::nullopt);
+      (*self)->dispatcher_->on_health_check_completed(probe, Outcome::kConnectFailed, std::nullopt);
   });
 }
 
@@ -133,7 +133,7 @@
     if (!c->call) close(node, c);
 }
 
-// From here on nothing of it is told to the carrier.
+// From here on nothing of it is told to the dispatcher.
 void EngineClient::forget(const QueryPtr& query) {
   if (query->over) return;
   query->over = true;
@@ -195,7 +195,7 @@
     query->result.work_us.reset();
     query->result.memory_used_mb.reset();
   }
-  carrier_->on_attempt_completed(query->key, query->result);
+  dispatcher_->on_attempt_completed(query->key, query->result);
 }
 
 void EngineClient::whole(const QueryPtr& query) {
@@ -205,7 +205,7 @@
     if (!rows.empty()) rows += ',';
     rows += *page;
   }
-  carrier_->on_attempt_message(query->key, std::move(rows));
+  dispatcher_->on_attempt_message(query->key, std::move(rows));
   end(query, Outcome::kOk);
 }
 
@@ -324,7 +324,7 @@
       http::Fields fields = {{"X-Ticket", ticket},
                              {"X-Queue", options_.classes[query.order.class_index]},
                              {"X-Max-Ms", std::to_string((left + 999) / 1000)}};
-      const carrier::Statement& statement = *query.order.statement;
+      const dispatch::Statement& statement = *query.order.statement;
       if (!statement.idempotency_key.empty()) fields.emplace_back("X-Nonce", statement.idempotency_key);
       if (!statement.ordering_key.empty()) fields.emplace_back("X-Ref", statement.ordering_key);
       if (query.order.memory_grant_mb > 0) {
@@ -478,11 +478,11 @@
       const std::optional<double> figure = read_figure(http::find(response.fields, "figure"));
       queue(node, {Kind::kNews, query, 0, 0});
       if (figure && remark == "done")
-        carrier_->on_attempt_progress(query->key, ProgressKind::kProgress, *figure);
+        dispatcher_->on_attempt_progress(query->key, ProgressKind::kProgress, *figure);
       if (figure && remark == "spills")
-        carrier_->on_attempt_progress(query->key, ProgressKind::kSpill, *figure);
+        dispatcher_->on_attempt_progress(query->key, ProgressKind::kSpill, *figure);
       if (figure && remark == "waits")
-        carrier_->on_attempt_progress(query->key, ProgressKind::kWaiting, *figure);
+        dispatcher_->on_attempt_progress(query->key, ProgressKind::kWaiting, *figure);
       return true;
     }
     case 200: {
@@ -555,7 +555,7 @@
     call.kind = Kind::kNews;  // whether it has begun is for the node to say
   }
   if (++query->breaks > kMostBreaks) {
-    give_up(query);  // before the carrier hears of it: the next attempt has to wait
+    give_up(query);  // before the dispatcher hears of it: the next attempt has to wait
     end(query, Outcome::kReset);
     return;
   }
--- a/src/platform/node_client.h
+++ b/src/platform/engine_client/engine_client.h
@@ -19,10 +19,10 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "carrier/carrier.h"
+#include "dispatch/request_dispatcher.h"
 #include "http/reader.h"
-#include "membership/directory.h"
-#include "platform/descriptors.h"
+#include "membership/endpoint_registry.h"
+#include "platform/descriptor_budget.h"
 #include "rpc/byte_stream.h"
 
 namespace sablelink::platform {
@@ -41,20 +41,20 @@
   uint64_t held_back = 0;                                   // attempts that waited for an earlier one
 };
 
-// On the net's strand alone. The carrier must outlive every attempt, the client its loop's last turn.
-class EngineClient : public carrier::EngineTransport {
+// On the net's strand alone. The dispatcher must outlive every attempt, the client its loop's last turn.
+class EngineClient : public dispatch::EngineTransport {
  public:
   EngineClient(EngineClientOptions options, rpc::Dialer& net, Clock& clock,
                const membership::EndpointRegistry& directory);
   ~EngineClient() override;
-  void set_dispatcher(carrier::RequestDispatcher* carrier) { carrier_ = carrier; }
+  void set_dispatcher(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
   // The directory has changed.
   void on_endpoints_changed();
 
-  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override;
-  void cancel(carrier::AttemptId key) override;
-  void resume(carrier::AttemptId) override {}  // a whole answer is passed on at once
+  void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override;
+  void cancel(dispatch::AttemptId key) override;
+  void resume(dispatch::AttemptId) override {}  // a whole answer is passed on at once
   void check_health(uint32_t probe, EngineId engine) override;
   void close_idle_connections(EngineId engine) override;
 
@@ -64,9 +64,9 @@
 
  private:
   struct Query {
-    carrier::AttemptId key;
+    dispatch::AttemptId key;
     EngineId engine = 0;
-    carrier::AttemptSpec order;
+    dispatch::AttemptSpec order;
     TimeUs made_at = 0;
     TimeUs asked_at = 0;  // a call for it left last; 0: none has, and none may have reached the node
     TimeUs posted_at = 0;
@@ -74,7 +74,7 @@
     int breaks = 0;         // calls in a row that came to nothing
     bool doubtful = false;  // its start broke off: it is not known to have arrived
     bool posting = false;   // its start is on a connection, unanswered
-    carrier::AttemptResult result;
+    dispatch::AttemptResult result;
     std::vector<std::optional<std::string>> pages;  // rows
     size_t pages_missing = 0;
   };
@@ -148,7 +148,7 @@
   rpc::Dialer& net_;
   Clock& clock_;
   const membership::EndpointRegistry& directory_;
-  carrier::RequestDispatcher* carrier_ = nullptr;
+  dispatch::RequestDispatcher* dispatcher_ = nullptr;
   std::map<EngineId, NodePtr> nodes_;
   std::map<std::pair<RequestId, int>, QueryPtr> queries_;
   std::map<std::string, Leftover> leftovers_;  // by the client's id, under which nodes know them
--- a/src/platform/front.cpp
+++ b/src/platform/http_server.cpp
@@ -1,4 +1,4 @@
-#include "platform/front.h"
+#include "platform/http_server.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -181,23 +181,23 @@
         boost::asio::detached);
   }
 
-  void finish(const std::string& rows, const carrier::FinalResponse& end) {
+  void finish(const std::string& rows, const dispatch::FinalResponse& end) {
     front_.open_ids_.erase(id_);
     request_ = 0;
     if (stage_ != Stage::kOpen) return;
     const http::Fields json = {{"Content-Type", "application/json"}};
     switch (end.status) {
-      case carrier::RequestStatus::kServed:
+      case dispatch::RequestStatus::kServed:
         answer(200, json, "{\"rows\":[" + rows + "]}", keep_alive_);
         return;
-      case carrier::RequestStatus::kRejected: {
+      case dispatch::RequestStatus::kRejected: {
         http::Fields fields = json;
         if (end.retry_after_us > 0)
           fields.emplace_back("Retry-After-Ms", std::to_string((end.retry_after_us + 999) / 1000));
         answer(503, fields, failure("Full"), keep_alive_);
         return;
       }
-      case carrier::RequestStatus::kFailed:
+      case dispatch::RequestStatus::kFailed:
         answer(500, json, failure("Error"), keep_alive_);
         return;
     }
@@ -227,7 +227,7 @@
     stream_->close();
     if (const RequestId id = std::exchange(request_, 0); id != 0) {
       front_.open_ids_.erase(id_);
-      front_.carrier_.on_client_disconnected(id);
+      front_.dispatcher_.on_client_disconnected(id);
     }
   }
 
@@ -362,14 +362,14 @@
   bool surplus_ = false;          // it came when there was no room
   bool keep_alive_ = true;
   std::string id_;         // of the request that is open
-  RequestId request_ = 0;  // 0: none is, or the carrier has answered already
+  RequestId request_ = 0;  // 0: none is, or the dispatcher has answered already
 };
 
-class HttpServer::Reply : public carrier::ResponseSink {
+class HttpServer::Reply : public dispatch::ResponseSink {
  public:
   explicit Reply(std::weak_ptr<Connection> connection) : connection_(std::move(connection)) {}
   void write(std::string message) override { rows_ += message; }
-  void finish(const carrier::FinalResponse& answer) override {
+  void finish(const dispatch::FinalResponse& answer) override {
     if (const auto connection = connection_.lock()) connection->finish(rows_, answer);
   }
   bool is_client_disconnected() const override {
@@ -384,7 +384,7 @@
 };
 
 void HttpServer::Connection::take(ClientRequest call, http::Request request) {
-  const auto statement = std::make_shared<carrier::Statement>();
+  const auto statement = std::make_shared<dispatch::Statement>();
   statement->text = std::move(request.body);
   statement->client_tag = call.id;
   statement->idempotency_key = std::move(call.idempotency_key);
@@ -401,14 +401,14 @@
   id_ = call.id;
   front_.open_ids_.insert(id_);
   stage_ = Stage::kOpen;
-  const RequestId id = front_.carrier_.submit(query, statement, std::make_shared<Reply>(weak_from_this()));
+  const RequestId id = front_.dispatcher_.submit(query, statement, std::make_shared<Reply>(weak_from_this()));
   if (stage_ == Stage::kOpen) request_ = id;
 }
 
-HttpServer::HttpServer(HttpServerOptions options, carrier::RequestDispatcher& carrier, rpc::Dialer& net,
+HttpServer::HttpServer(HttpServerOptions options, dispatch::RequestDispatcher& dispatcher, rpc::Dialer& net,
                        Clock& clock)
     : options_(std::move(options)),
-      carrier_(carrier),
+      dispatcher_(dispatcher),
       net_(net),
       clock_(clock),
       self_(std::make_shared<HttpServer*>(this)) {
--- a/src/platform/front.h
+++ b/src/platform/http_server.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/clock.h"
-#include "carrier/carrier.h"
+#include "dispatch/request_dispatcher.h"
 #include "http/reader.h"
 #include "rpc/byte_stream.h"
 
@@ -52,7 +52,8 @@
 // On the net's strand alone.
 class HttpServer {
  public:
-  HttpServer(HttpServerOptions options, carrier::RequestDispatcher& carrier, rpc::Dialer& net, Clock& clock);
+  HttpServer(HttpServerOptions options, dispatch::RequestDispatcher& dispatcher, rpc::Dialer& net,
+             Clock& clock);
   ~HttpServer();
 
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream);
@@ -74,7 +75,7 @@
   void sweep();
 
   const HttpServerOptions options_;
-  carrier::RequestDispatcher& carrier_;
+  dispatch::RequestDispatcher& dispatcher_;
   rpc::Dialer& net_;
   Clock& clock_;
   std::list<std::shared_ptr<Connection>> connections_;  // oldest first
--- a/src/platform/pages.cpp
+++ b/src/platform/pages.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "base/json.h"
-#include "settings.h"
+#include "workload/settings_parser.h"
 
 namespace sablelink::platform {
 
--- a/src/platform/pages.h
+++ b/src/platform/pages.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "gateway.h"
+#include "workload/events.h"
 
 namespace sablelink::platform {
 
--- a/src/platform/drain.h
+++ b/src/platform/shutdown_schedule.h
@@ -3,7 +3,8 @@
 
 #include <algorithm>
 
-#include "gateway.h"
+#include "workload/settings.h"
+#include "workload/types.h"
 
 namespace sablelink::platform {
 
--- a/src/schemas/store.h
+++ b/src/schemas/store.h
@@ -16,7 +16,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::schemas {
 
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -25,7 +25,7 @@
 }
 
 // Answers with the whole list as it was told last.
-class GatewayCore::Lists : public carrier::EndpointSource {
+class GatewayCore::Lists : public dispatch::EndpointSource {
  public:
   Lists(GatewayCore& core, boost::asio::any_io_executor executor)
       : core_(core), executor_(std::move(executor)) {}
@@ -34,7 +34,7 @@
   }
   void fetch() override {
     boost::asio::post(executor_, [this] {
-      core_.carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, core_.directory_.endpoints());
+      core_.dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, core_.directory_.endpoints());
     });
   }
 
@@ -50,33 +50,34 @@
               config.flight_sql.node_connections},
              ports.executor, ports.channels, [this](EngineId id) { return directory_.address(id); }) {
   if (ports.wrap_nodes) wrapped_ = ports.wrap_nodes(nodes_);
-  carrier::EndpointSource* lists = ports.lists;
+  dispatch::EndpointSource* lists = ports.lists;
   if (lists == nullptr) {
     lists_ = std::make_unique<Lists>(*this, ports.executor);
     lists = lists_.get();
   }
-  carrier::EngineTransport& transport = wrapped_ ? *wrapped_ : nodes_;
-  carrier_ = ports.make_carrier ? ports.make_carrier(config.settings, seeds.module, config.dispatcher,
-                                                     ports.clock, transport, *lists, ports.log)
-                                : std::make_unique<carrier::RequestDispatcher>(config.settings, seeds.module,
-                                                                               config.dispatcher, ports.clock,
-                                                                               transport, *lists, ports.log);
-  nodes_.set_carrier(carrier_.get());
+  dispatch::EngineTransport& transport = wrapped_ ? *wrapped_ : nodes_;
+  dispatcher_ =
+      ports.make_dispatcher
+          ? ports.make_dispatcher(config.settings, seeds.module, config.dispatcher, ports.clock, transport,
+                                  *lists, ports.log)
+          : std::make_unique<dispatch::RequestDispatcher>(config.settings, seeds.module, config.dispatcher,
+                                                          ports.clock, transport, *lists, ports.log);
+  nodes_.set_carrier(dispatcher_.get());
   front_ =
-      std::make_unique<flightsql::FlightSqlServer>(config, seeds.front, *carrier_, ports.clock, ports.log);
+      std::make_unique<flightsql::FlightSqlServer>(config, seeds.front, *dispatcher_, ports.clock, ports.log);
 }
 
 GatewayCore::~GatewayCore() = default;
 
 void GatewayCore::start() {
   directory_.replace(first_nodes_);
-  carrier_->start();
-  carrier_->on_endpoints_changed(EndpointUpdateKind::kCached, directory_.endpoints());
+  dispatcher_->start();
+  dispatcher_->on_endpoints_changed(EndpointUpdateKind::kCached, directory_.endpoints());
 }
 
 void GatewayCore::set_nodes(const std::vector<config::EngineConfig>& nodes, EndpointUpdateKind form) {
   directory_.replace(nodes);
-  carrier_->on_endpoints_changed(form, directory_.endpoints());
+  dispatcher_->on_endpoints_changed(form, directory_.endpoints());
 }
 
 bool GatewayCore::quiesce() {
--- a/src/service/gateway_core.h
+++ b/src/service/gateway_core.h
@@ -1,5 +1,5 @@
-// A gateway without its sockets: list of nodes, node client, carrier and front, put together on one executor
-// and clock. GatewayService gives it gRPC, the simulation a network of its own.
+// A gateway without its sockets: list of nodes, node client, dispatcher and front, put together on one
+// executor and clock. GatewayService gives it gRPC, the simulation a network of its own.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -9,11 +9,11 @@
 
 #include "base/clock.h"
 #include "base/log.h"
-#include "carrier/carrier.h"
 #include "config/gateway_config.h"
-#include "flightsql/front.h"
-#include "flightsql/node_client.h"
-#include "membership/directory.h"
+#include "dispatch/request_dispatcher.h"
+#include "flightsql/engine_client.h"
+#include "flightsql/flight_sql_server.h"
+#include "membership/endpoint_registry.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::service {
@@ -27,10 +27,10 @@
   static GatewaySeeds draw(const std::function<uint64_t()>& random);
 };
 
-// Makes the carrier that a gateway uses.
-using CarrierMaker = std::function<std::unique_ptr<carrier::RequestDispatcher>(
-    const Settings& settings, uint64_t seed, const carrier::DispatcherLimits& limits, Clock& clock,
-    carrier::EngineTransport& nodes, carrier::EndpointSource& lists, Log& log)>;
+// Makes the dispatcher that a gateway uses.
+using DispatcherFactory = std::function<std::unique_ptr<dispatch::RequestDispatcher>(
+    const Settings& settings, uint64_t seed, const dispatch::DispatcherLimits& limits, Clock& clock,
+    dispatch::EngineTransport& nodes, dispatch::EndpointSource& lists, Log& log)>;
 
 // What a gateway is built on. All must outlive it.
 struct GatewayPorts {
@@ -39,10 +39,10 @@
   rpc::ChannelFactory& channels;
   Log& log;
   // Asked for the list where given; else it is answered with what set_nodes() has told last.
-  carrier::EndpointSource* lists = nullptr;
-  // For tests that plant defects: stands between the carrier and the node client.
-  std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)> wrap_nodes{};
-  CarrierMaker make_carrier{};  // another carrier than the plain one
+  dispatch::EndpointSource* lists = nullptr;
+  // For tests that plant defects: stands between the dispatcher and the node client.
+  std::function<std::unique_ptr<dispatch::EngineTransport>(dispatch::EngineTransport&)> wrap_nodes{};
+  DispatcherFactory make_dispatcher{};  // another carrier than the plain one
 };
 
 // Used on its executor alone.
@@ -64,11 +64,11 @@
                  EndpointUpdateKind form = EndpointUpdateKind::kFull);
   void set_selectors(config::SelectorSettings selectors) { front_->set_selectors(std::move(selectors)); }
   // Refuses what is new; on_idle is called once nothing is left.
-  void stop(std::function<void()> on_idle) { carrier_->stop_accepting(std::move(on_idle)); }
+  void stop(std::function<void()> on_idle) { dispatcher_->stop_accepting(std::move(on_idle)); }
   // Drops every attempt; true once all that was begun has unwound.
   bool quiesce();
 
-  const carrier::RequestDispatcher& carrier() const { return *carrier_; }
+  const dispatch::RequestDispatcher& dispatcher() const { return *dispatcher_; }
   const flightsql::FlightSqlServer& front() const { return *front_; }
   const flightsql::FlightSqlEngineClient& node_client() const { return nodes_; }
 
@@ -78,9 +78,9 @@
   const std::vector<config::EngineConfig> first_nodes_;
   membership::EndpointRegistry directory_;
   flightsql::FlightSqlEngineClient nodes_;
-  std::unique_ptr<carrier::EngineTransport> wrapped_;
+  std::unique_ptr<dispatch::EngineTransport> wrapped_;
   std::unique_ptr<Lists> lists_;
-  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
   std::unique_ptr<flightsql::FlightSqlServer> front_;
 };
 
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -67,13 +67,13 @@
   const auto idle = std::make_shared<std::promise<void>>();
   std::future<void> ended = idle->get_future();
   loop_.post([this, idle] {
-    log_->info("stopping", {{"open", std::to_string(core_->carrier().open_requests())}});
+    log_->info("stopping", {{"open", std::to_string(core_->dispatcher().open_requests())}});
     core_->stop([idle] { idle->set_value(); });
   });
   const bool all = ended.wait_for(std::chrono::microseconds(grace)) == std::future_status::ready;
   constexpr TimeUs kFlushUs = 500'000;  // for answers that are still on their way out
   server_->shutdown(all ? kFlushUs : 0);
-  inspect([this](const carrier::RequestDispatcher&, const flightsql::FlightSqlServer& front) {
+  inspect([this](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& front) {
     const schemas::Store::Counts& known = front.columns().store().counts();
     const schemas::Planning::Counts& plans = front.columns().planning().counts();
     log_->info("columns", {{"asked", std::to_string(plans.asked)},
@@ -90,8 +90,8 @@
 }
 
 void GatewayService::inspect(
-    const std::function<void(const carrier::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
-  loop_.run([&] { fn(core_->carrier(), core_->front()); });
+    const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
+  loop_.run([&] { fn(core_->dispatcher(), core_->front()); });
 }
 
 }  // namespace sablelink::service
--- a/src/service/gateway_service.h
+++ b/src/service/gateway_service.h
@@ -29,7 +29,7 @@
   void stop(TimeUs grace);
   // Runs fn on the loop and waits for it; for tests and metrics.
   void inspect(
-      const std::function<void(const carrier::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn);
+      const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn);
 
  private:
   void unwind();  // waits until nothing of the core runs any more, and ends it
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "platform/drain.h"
+#include "platform/shutdown_schedule.h"
 
 namespace sablelink::service {
 namespace {
@@ -13,7 +13,7 @@
 }  // namespace
 
 // The platform tells of changes unasked; who asks is told the list as it stands.
-class PlatformService::Lists : public carrier::EndpointSource {
+class PlatformService::Lists : public dispatch::EndpointSource {
  public:
   explicit Lists(PlatformService& service) : service_(service) {}
   void watch(bool on) override {
@@ -21,7 +21,7 @@
   }
   void fetch() override {
     service_.loop_.call_after(0, [this] {
-      service_.carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, service_.directory_.endpoints());
+      service_.dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, service_.directory_.endpoints());
     });
   }
 
@@ -43,22 +43,22 @@
   to_nodes.hedging_allowed = config_.settings.hedging_allowed;
   to_nodes.classes = config_.names.classes;
   nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
-  carrier::DispatcherLimits limits;
+  dispatch::DispatcherLimits limits;
   limits.total_buffer_bytes = (config_.memory_mb << 20) / kHeldShare;
-  carrier_ = std::make_unique<carrier::RequestDispatcher>(config_.settings, config_.seed, limits, loop_,
-                                                          *nodes_, *lists_, *log_);
-  nodes_->set_dispatcher(carrier_.get());
+  dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(config_.settings, config_.seed, limits, loop_,
+                                                              *nodes_, *lists_, *log_);
+  nodes_->set_dispatcher(dispatcher_.get());
   platform::HttpServerOptions to_clients;
   to_clients.classes = config_.names.classes;
   to_clients.tenants = config_.names.tenants;
   for (const ClassSettings& cls : config_.settings.classes)
     to_clients.max_timeout_us.push_back(cls.request_timeout_us);
   to_clients.max_connections = budget.clients;
-  front_ = std::make_unique<platform::HttpServer>(to_clients, *carrier_, *net_, loop_);
+  front_ = std::make_unique<platform::HttpServer>(to_clients, *dispatcher_, *net_, loop_);
   changes_ = std::make_unique<platform::EndpointWatcher>(
       *net_, loop_, *log_, [this](const std::vector<config::EngineConfig>& nodes) { told(nodes); });
   loop_.post([this] {
-    carrier_->start();
+    dispatcher_->start();
     changes_->start(config_);
   });
   port_ = net_->listen(config_.listen, [this](std::shared_ptr<rpc::ByteStream> stream) {
@@ -77,7 +77,7 @@
   changes_.reset();
   front_.reset();
   nodes_.reset();
-  carrier_.reset();
+  dispatcher_.reset();
   net_.reset();
   loop_.poll();
 }
@@ -85,7 +85,7 @@
 void PlatformService::told(const std::vector<config::EngineConfig>& nodes) {
   directory_.replace(nodes);
   nodes_->on_endpoints_changed();
-  carrier_->on_endpoints_changed(
+  dispatcher_->on_endpoints_changed(
       std::exchange(started_, true) ? EndpointUpdateKind::kFull : EndpointUpdateKind::kCached,
       directory_.endpoints());
 }
@@ -97,12 +97,12 @@
 
 void PlatformService::stop() {
   if (std::exchange(stopping_, true)) return;
-  log_->info("stopping", {{"open", std::to_string(carrier_->open_requests())}});
+  log_->info("stopping", {{"open", std::to_string(dispatcher_->open_requests())}});
   front_->start_draining();
   const auto times = platform::ShutdownSchedule::of(config_.settings);
   end_by_ = loop_.now() + times.exit;
   loop_.call_after(times.stop_accepting, [this] { stop_taking(); });
-  loop_.call_after(times.cancel_in_flight, [this] { carrier_->cancel_in_flight(); });
+  loop_.call_after(times.cancel_in_flight, [this] { dispatcher_->cancel_in_flight(); });
 }
 
 void PlatformService::stop_taking() {
@@ -112,13 +112,13 @@
 }
 
 void PlatformService::end_when_quiet() {
-  if ((carrier_->open_requests() > 0 || !front_->is_idle()) && loop_.now() < end_by_) {
+  if ((dispatcher_->open_requests() > 0 || !front_->is_idle()) && loop_.now() < end_by_) {
     loop_.call_after(kQuietStepUs, [this] { end_when_quiet(); });
     return;
   }
   const platform::EngineClientCounters& n = nodes_->counters();
   const platform::HttpServerCounters& f = front_->counters();
-  const carrier::DispatcherCounters& c = carrier_->counters();
+  const dispatch::DispatcherCounters& c = dispatcher_->counters();
   log_->info("stopped", {{"taken", std::to_string(c.accepted)},
                          {"served", std::to_string(c.served)},
                          {"refused", std::to_string(c.rejected)},
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -1,17 +1,17 @@
-// A gateway on the users' platform: carrier, front, node client and change log put together on one loop, with
-// their start, reload and end.
+// A gateway on the users' platform: dispatcher, front, node client and change log put together on one loop,
+// with their start, reload and end.
 #pragma once
 
 #include <functional>
 #include <memory>
 #include <string>
 
-#include "carrier/carrier.h"
-#include "membership/directory.h"
-#include "platform/change_log.h"
+#include "dispatch/request_dispatcher.h"
+#include "membership/endpoint_registry.h"
 #include "platform/config.h"
-#include "platform/front.h"
-#include "platform/node_client.h"
+#include "platform/endpoints/endpoint_watcher.h"
+#include "platform/engine_client/engine_client.h"
+#include "platform/http_server.h"
 #include "rpc/asio_loop.h"
 #include "rpc/tcp_stream.h"
 #include "service/runtime.h"
@@ -35,7 +35,7 @@
   // run() ends; at the latest shortly before the platform's SIGKILL. Further calls change nothing.
   void stop();
 
-  const carrier::RequestDispatcher& carrier() const { return *carrier_; }
+  const dispatch::RequestDispatcher& dispatcher() const { return *dispatcher_; }
   const platform::HttpServer& front() const { return *front_; }
   const platform::EngineClient& nodes() const { return *nodes_; }
 
@@ -53,7 +53,7 @@
   membership::EndpointRegistry directory_;
   std::unique_ptr<Lists> lists_;
   std::unique_ptr<platform::EngineClient> nodes_;
-  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
   std::unique_ptr<platform::HttpServer> front_;
   std::unique_ptr<platform::EndpointWatcher> changes_;
   int port_ = 0;
--- a/src/sim/defects.cpp
+++ b/src/sim/defects.cpp
@@ -37,12 +37,12 @@
 
 constexpr TimeUs kLateUs = 300'000;
 
-// Spoils the way from the carrier to its node client.
-class SpoiltTransport : public carrier::EngineTransport {
+// Spoils the way from the dispatcher to its node client.
+class SpoiltTransport : public dispatch::EngineTransport {
  public:
-  SpoiltTransport(Defect defect, carrier::EngineTransport& inner) : defect_(defect), inner_(inner) {}
-  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override {
-    if (defect_ == Defect::kPlanStays && order.statement->kind == carrier::ExecutionKind::kPlan) {
+  SpoiltTransport(Defect defect, dispatch::EngineTransport& inner) : defect_(defect), inner_(inner) {}
+  void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override {
+    if (defect_ == Defect::kPlanStays && order.statement->kind == dispatch::ExecutionKind::kPlan) {
       if (plans_at_ == 0) plans_at_ = engine;
       engine = plans_at_;
     }
@@ -52,22 +52,22 @@
       inner_.start(key, engine, order);
     }
   }
-  void cancel(carrier::AttemptId key) override {
+  void cancel(dispatch::AttemptId key) override {
     if (defect_ != Defect::kDropForgotten) inner_.cancel(key);
   }
-  void resume(carrier::AttemptId key) override { inner_.resume(key); }
+  void resume(dispatch::AttemptId key) override { inner_.resume(key); }
   void check_health(uint32_t probe, EngineId engine) override { inner_.check_health(probe, engine); }
   void close_idle_connections(EngineId engine) override { inner_.close_idle_connections(engine); }
 
  private:
   const Defect defect_;
-  carrier::EngineTransport& inner_;
+  dispatch::EngineTransport& inner_;
   uint64_t count_ = 0;
   EngineId plans_at_ = 0;
 };
 
 // Never lets go of what a client hasn't read.
-class HoardingCarrier : public carrier::RequestDispatcher {
+class HoardingDispatcher : public dispatch::RequestDispatcher {
  public:
   using RequestDispatcher::RequestDispatcher;
 
@@ -198,11 +198,11 @@
   }
 }
 
-std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)>
+std::function<std::unique_ptr<dispatch::EngineTransport>(dispatch::EngineTransport&)>
 DefectiveParts::wrap_nodes() const {
   if (defect_ != Defect::kDoubledSend && defect_ != Defect::kDropForgotten && defect_ != Defect::kPlanStays)
     return {};
-  return [defect = defect_](carrier::EngineTransport& inner) {
+  return [defect = defect_](dispatch::EngineTransport& inner) {
     return std::make_unique<SpoiltTransport>(defect, inner);
   };
 }
@@ -212,10 +212,10 @@
   return std::make_shared<SpoiltCall>(defect_, ++calls_, std::move(call), earlier_);
 }
 
-service::CarrierMaker DefectiveParts::make_carrier() const {
+service::DispatcherFactory DefectiveParts::make_dispatcher() const {
   if (defect_ != Defect::kUnreadKept) return {};
-  return [](auto&&... parts) -> std::unique_ptr<carrier::RequestDispatcher> {
-    return std::make_unique<HoardingCarrier>(parts...);
+  return [](auto&&... parts) -> std::unique_ptr<dispatch::RequestDispatcher> {
+    return std::make_unique<HoardingDispatcher>(parts...);
   };
 }
 
--- a/src/sim/defects.h
+++ b/src/sim/defects.h
@@ -6,8 +6,8 @@
 #include <memory>
 #include <vector>
 
-#include "carrier/ports.h"
 #include "config/gateway_config.h"
+#include "dispatch/engine_transport.h"
 #include "rpc/rpc.h"
 #include "service/gateway_core.h"
 #include "sim/run.h"
@@ -24,9 +24,9 @@
   void spoil(config::GatewayConfig* config) const;
   void spoil(std::vector<config::EngineConfig>* list) const;
   Clock& clock();
-  std::function<std::unique_ptr<carrier::EngineTransport>(carrier::EngineTransport&)> wrap_nodes() const;
+  std::function<std::unique_ptr<dispatch::EngineTransport>(dispatch::EngineTransport&)> wrap_nodes() const;
   std::shared_ptr<rpc::ServerCall> wrap_call(std::shared_ptr<rpc::ServerCall> call);
-  service::CarrierMaker make_carrier() const;
+  service::DispatcherFactory make_dispatcher() const;
 
  private:
   class LosingClock;
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -218,7 +218,7 @@
     result.attempts = observer_.rules().attempts();
     for (const Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::DispatcherCounters& c = g.core->carrier().counters();
+      const dispatch::DispatcherCounters& c = g.core->dispatcher().counters();
       result.streams += c.streamed_responses;
       result.bound_reached += c.buffer_limit_reached;
       result.left_unread += c.disconnected_unread;
@@ -359,7 +359,7 @@
     g.parts->spoil(&config);
     service::GatewayPorts ports{world_.executor(), g.parts->clock(), *g.channels, *g.log, nullptr, {}};
     ports.wrap_nodes = g.parts->wrap_nodes();
-    ports.make_carrier = g.parts->make_carrier();
+    ports.make_dispatcher = g.parts->make_dispatcher();
     g.core = std::make_unique<service::GatewayCore>(config, seeds, ports);
     g.core->start();
     g.listener = network_.listen(g.name, g.actor, [&g](std::shared_ptr<rpc::ServerCall> call) {
@@ -543,13 +543,13 @@
       };
       const flightsql::QueryResult result =
           co_await to->query(std::move(text), std::move(o), std::move(read));
-      const bool served = result.from_gateway && result.verdict == carrier::RequestStatus::kServed;
+      const bool served = result.from_gateway && result.verdict == dispatch::RequestStatus::kServed;
       c.fault = check->fault(served);
       if (c.fault.empty() && result.has_schema && result.promised && *result.promised != result.schema)
         c.fault = "its columns aren't those that its ticket promised";
       if (c.fault.empty() && result.schema_changed) c.fault = "its columns are said to have changed";
       observer_.client_ends(c, result, *left_early);
-      const bool promised = result.from_gateway && result.verdict == carrier::RequestStatus::kRejected;
+      const bool promised = result.from_gateway && result.verdict == dispatch::RequestStatus::kRejected;
       // Without a promise that nothing ran, a client repeats only what bears it; one that left comes back.
       const bool bears = r.cls == "lookup" || r.cls == "report" || r.cls == "bound";
       if (served || !(promised || bears)) break;
@@ -755,7 +755,7 @@
     observer_.after_step();
     for (Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::RequestDispatcher& c = g.core->carrier();
+      const dispatch::RequestDispatcher& c = g.core->dispatcher();
       // What flows is bounded by each answer's window; a message that passes a bound is held whole.
       const size_t flowing = c.tracked_requests() * (config_.dispatcher.stream_window_bytes + kMessageBytes);
       if (c.buffered_bytes() > config_.dispatcher.total_buffer_bytes + kMessageBytes + flowing)
@@ -776,7 +776,7 @@
     empty("the world", "clients", clients_out_);
     for (const Gateway& g : gateways_) {
       if (!g.core) continue;
-      const carrier::RequestDispatcher& c = g.core->carrier();
+      const dispatch::RequestDispatcher& c = g.core->dispatcher();
       empty(g.name, "requests", c.tracked_requests());
       empty(g.name, "requests without an answer", c.open_requests());
       empty(g.name, "bytes held", c.buffered_bytes());
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/types.h"
 
 namespace sablelink::sim {
 
--- a/src/benchlink/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -1,13 +1,13 @@
-#include "codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <algorithm>
 #include <bit>
 #include <cmath>
 #include <limits>
 
-#include "settings.h"
+#include "workload/settings_parser.h"
 
-namespace sablelink::benchlink {
+namespace sablelink::simulator_adapter {
 namespace {
 
 constexpr size_t kEntryBytes = 25;
@@ -262,4 +262,4 @@
   put_text(line);
 }
 
-}  // namespace sablelink::benchlink
+}  // namespace sablelink::simulator_adapter
--- a/src/benchlink/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -7,9 +7,11 @@
 #include <string_view>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/events.h"
+#include "workload/types.h"
+#include "workload/workload_manager.h"
 
-namespace sablelink::benchlink {
+namespace sablelink::simulator_adapter {
 
 struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -95,4 +97,4 @@
   int written_for_ = -1;
 };
 
-}  // namespace sablelink::benchlink
+}  // namespace sablelink::simulator_adapter
--- a/src/benchlink/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -4,7 +4,7 @@
 #include <exception>
 #include <string>
 
-#include "host.h"
+#include "simulator_adapter/simulator_host.h"
 
 namespace {
 
@@ -25,22 +25,22 @@
 }
 
 int run() {
-  using sablelink::benchlink::kHeaderBytes;
-  sablelink::benchlink::SimulatorHost host;
+  using sablelink::simulator_adapter::kHeaderBytes;
+  sablelink::simulator_adapter::SimulatorHost host;
   for (;;) {
     std::string head;
     if (!read_bytes(head, kHeaderBytes)) {
       if (head.empty()) return 0;
-      throw sablelink::benchlink::ProtocolError("wire: input ended inside a batch header");
+      throw sablelink::simulator_adapter::ProtocolError("wire: input ended inside a batch header");
     }
-    const auto header = sablelink::benchlink::read_header(head);
+    const auto header = sablelink::simulator_adapter::read_header(head);
     std::string body;
     if (!read_bytes(body, header.body_bytes)) {
-      throw sablelink::benchlink::ProtocolError("wire: input ended inside a batch");
+      throw sablelink::simulator_adapter::ProtocolError("wire: input ended inside a batch");
     }
     const std::string frame = host.handle(header.now, body);
     if (std::fwrite(frame.data(), 1, frame.size(), stdout) != frame.size() || std::fflush(stdout) != 0) {
-      throw sablelink::benchlink::ProtocolError("wire: the reply could not be written");
+      throw sablelink::simulator_adapter::ProtocolError("wire: the reply could not be written");
     }
   }
 }
--- a/src/benchlink/host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -1,10 +1,10 @@
-#include "host.h"
+#include "simulator_adapter/simulator_host.h"
 
 #include <utility>
 
-#include "settings.h"
+#include "workload/settings_parser.h"
 
-namespace sablelink::benchlink {
+namespace sablelink::simulator_adapter {
 
 std::string SimulatorHost::handle(TimeUs now, std::string_view body) {
   FrameReader in(body);
@@ -126,4 +126,4 @@
   }
 }
 
-}  // namespace sablelink::benchlink
+}  // namespace sablelink::simulator_adapter
--- a/src/benchlink/host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -6,10 +6,12 @@
 #include <string>
 #include <string_view>
 
-#include "codec.h"
-#include "gateway.h"
+#include "simulator_adapter/codec.h"
+#include "workload/events.h"
+#include "workload/types.h"
+#include "workload/workload_manager.h"
 
-namespace sablelink::benchlink {
+namespace sablelink::simulator_adapter {
 
 class SimulatorHost {
  public:
@@ -33,4 +35,4 @@
   int who_ = -1;
 };
 
-}  // namespace sablelink::benchlink
+}  // namespace sablelink::simulator_adapter
--- a/src/settings.h
+++ b/src/workload/settings_parser.h
@@ -1,15 +1,18 @@
 // Reads a gateway's settings from lines of path=value.
 #pragma once
 
-#include <stdexcept>
+#include <string>
 #include <string_view>
+#include <vector>
 
-#include "gateway.h"
+#include "workload/error.h"
+#include "workload/events.h"
+#include "workload/settings.h"
 
 namespace sablelink {
 
-struct SettingsError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+struct SettingsError : Error {
+  using Error::Error;
 };
 
 // Unknown keys are ignored; missing optional keys take the defaults of Settings. Throws SettingsError, naming
--- a/src/state.h
+++ b/src/workload/state.h
@@ -5,7 +5,9 @@
 #include <utility>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/events.h"
+#include "workload/settings.h"
+#include "workload/types.h"
 
 namespace sablelink {
 
--- a/src/policy.cpp
+++ b/src/workload/workload_manager.cpp
@@ -1,5 +1,7 @@
 // The decisions of sablelink. gateway.h has the interface; docs/design.md tells what was kept of the paper's
 // design, what was changed and when each exception acts. Every send passes Impl::may_send.
+#include "workload/workload_manager.h"
+
 #include <algorithm>
 #include <cmath>
 #include <deque>
@@ -7,9 +9,8 @@
 #include <string>
 #include <utility>
 
-#include "gateway.h"
-#include "random.h"
-#include "state.h"
+#include "workload/random.h"
+#include "workload/state.h"
 
 namespace sablelink {
 namespace {
--- a/tests/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -2,7 +2,7 @@
 #include <gtest/gtest.h>
 
 #include "config/gateway_config.h"
-#include "membership/directory.h"
+#include "membership/endpoint_registry.h"
 #include "nodes/node_config.h"
 
 namespace sablelink::config {
--- a/tests/flightsql_test.cpp
+++ b/tests/flightsql_test.cpp
@@ -16,8 +16,8 @@
 namespace sablelink::flightsql {
 namespace {
 
-using carrier::CompletionReason;
-using carrier::RequestStatus;
+using dispatch::CompletionReason;
+using dispatch::RequestStatus;
 
 // An engine may tell one schema in two encodings, as in a plan and in an answer.
 TEST(Columns, AreTheSameHoweverTheyAreWritten) {
@@ -184,7 +184,8 @@
 }
 
 TEST(FinalAnswers, PromiseOnlyWhatIsTrue) {
-  carrier::FinalResponse refused{RequestStatus::kRejected, CompletionReason::kPolicyDecision, 250'500, 1, {}};
+  dispatch::FinalResponse refused{
+      RequestStatus::kRejected, CompletionReason::kPolicyDecision, 250'500, 1, {}};
   const ClientEnd r = map_final_answer(refused);
   EXPECT_EQ(r.status.code, rpc::Code::kUnavailable);
   EXPECT_EQ(read_details(r.status).retry_after_us, 250'500);
@@ -193,12 +194,12 @@
   refused.retry_after_us = 0;
   EXPECT_FALSE(read_details(map_final_answer(refused).status).retry_after_us);
   EXPECT_EQ(rpc::find_value(map_final_answer(refused).trailers, kPushbackKey), "");
-  const carrier::FinalResponse failed{
+  const dispatch::FinalResponse failed{
       RequestStatus::kFailed, CompletionReason::kPolicyDecision, 0, 2, {13, "disk on fire"}};
   const ClientEnd f = map_final_answer(failed);
   EXPECT_EQ(f.status.code, rpc::Code::kUnknown);
   EXPECT_NE(f.status.message.find("disk on fire"), std::string::npos);
-  const carrier::FinalResponse wrong{
+  const dispatch::FinalResponse wrong{
       RequestStatus::kFailed, CompletionReason::kStatementError, 0, 1, {3, "no such column"}};
   EXPECT_EQ(map_final_answer(wrong).status.code, rpc::Code::kInvalidArgument);
   EXPECT_EQ(map_final_answer(wrong).status.message, "no such column");
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -21,7 +21,7 @@
 
 namespace sablelink::test {
 
-using carrier::RequestStatus;
+using dispatch::RequestStatus;
 using flightsql::Client;
 using flightsql::ClientOptions;
 using flightsql::QueryResult;
@@ -206,7 +206,7 @@
   }
   size_t open_requests() {
     size_t n = 0;
-    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+    gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
       n = c.tracked_requests();
     });
     return n;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -104,7 +104,7 @@
   }));
   const size_t held = open_requests();
   EXPECT_GT(held, 0u);
-  gateway_->inspect([](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+  gateway_->inspect([](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
     EXPECT_GT(c.counters().retries, 0u);
   });
   cancel_all();
@@ -141,7 +141,7 @@
   }));
   size_t held = 1;
   EXPECT_TRUE(wait_for([&] {
-    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+    gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
       held = c.buffered_bytes();
     });
     return held == 0;
--- a/tests/platform_crossing_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -15,14 +15,14 @@
 #include <thread>
 #include <vector>
 
-#include "carrier/carrier.h"
-#include "harness.h"
+#include "dispatch/request_dispatcher.h"
 #include "http/message.h"
-#include "membership/directory.h"
-#include "platform/front.h"
-#include "platform/node_client.h"
+#include "membership/endpoint_registry.h"
+#include "platform/engine_client/engine_client.h"
+#include "platform/http_server.h"
 #include "rpc/asio_loop.h"
 #include "rpc/tcp_stream.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 namespace {
@@ -102,24 +102,24 @@
     to_nodes.budget.engines = 2;
     to_nodes.classes = {"lookup", "report"};
     nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
-    carrier_ = std::make_unique<carrier::RequestDispatcher>(plain_settings(), 7, carrier::DispatcherLimits{},
-                                                            loop_, *nodes_, lists_, log_);
-    nodes_->set_dispatcher(carrier_.get());
+    dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
+        plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *nodes_, lists_, log_);
+    nodes_->set_dispatcher(dispatcher_.get());
     platform::HttpServerOptions to_clients;
     to_clients.classes = to_nodes.classes;
     to_clients.max_timeout_us = {5 * kSecond, 15 * kSecond};
     to_clients.max_connections = connections;
-    front_ = std::make_unique<platform::HttpServer>(to_clients, *carrier_, *net_, loop_);
+    front_ = std::make_unique<platform::HttpServer>(to_clients, *dispatcher_, *net_, loop_);
     port_ = net_->listen("127.0.0.1:0", [this](auto stream) { return front_->serve(std::move(stream)); });
-    carrier_->start();
+    dispatcher_->start();
     nodes_->on_endpoints_changed();
-    carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
+    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
     loop_.poll();
   }
   ~PlatformCrossing() override {
     front_.reset();
     nodes_.reset();
-    carrier_.reset();
+    dispatcher_.reset();
     net_.reset();
     loop_.poll();
   }
@@ -175,14 +175,14 @@
   std::unique_ptr<RawSocket> node_listener_;
   std::vector<RawSocket> node_side_;
   int node_port_ = 0, port_ = 0;
-  struct NoLists : carrier::EndpointSource {
+  struct NoLists : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
   } lists_;
   NullLog log_;
   membership::EndpointRegistry directory_;
   std::unique_ptr<platform::EngineClient> nodes_;
-  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
   std::unique_ptr<platform::HttpServer> front_;
 };
 
@@ -241,7 +241,7 @@
   EXPECT_TRUE(client.ended);
   EXPECT_FALSE(client.broken);
   EXPECT_TRUE(until([&] { return front_->is_idle(); }));
-  EXPECT_EQ(carrier_->counters().accepted, 0u);
+  EXPECT_EQ(dispatcher_->counters().accepted, 0u);
 }
 
 // A new connection needs room as the oldest at rest has just sent its next request: another one goes.
@@ -279,7 +279,7 @@
     clients.push_back(RawSocket::connect(port_));
     clients.back().send(statement(n));
   }
-  ASSERT_TRUE(until([&] { return node_calls("POST /v2/q ") == 2 && carrier_->counters().attempts == 3; }));
+  ASSERT_TRUE(until([&] { return node_calls("POST /v2/q ") == 2 && dispatcher_->counters().attempts == 3; }));
   size_t sent = 2;
   uint64_t left = 0;
   for (int round = 0; round < 50 && left == 0; ++round) {
@@ -291,13 +291,13 @@
       clients.push_back(RawSocket::connect(port_));
       clients.back().send(statement(10 + round));
       ++sent;
-      const uint64_t taken = carrier_->counters().accepted + 1;
-      ASSERT_TRUE(until([&] { return carrier_->counters().accepted == taken; }));
+      const uint64_t taken = dispatcher_->counters().accepted + 1;
+      ASSERT_TRUE(until([&] { return dispatcher_->counters().accepted == taken; }));
       continue;
     }
     clients.back().close();
-    ASSERT_TRUE(until([&] { return carrier_->counters().disconnected == 1; }));
-    left = carrier_->counters().disconnected;
+    ASSERT_TRUE(until([&] { return dispatcher_->counters().disconnected == 1; }));
+    left = dispatcher_->counters().disconnected;
   }
   EXPECT_EQ(left, 1u);
   EXPECT_EQ(node_calls("POST /v2/q "), sent);
--- /dev/null
+++ b/tests/platform/pages_test.cpp
@@ -0,0 +1,31 @@
+// Rows and load reports of engine responses.
+#include "platform/pages.h"
+
+#include <gtest/gtest.h>
+
+namespace sablelink::test {
+namespace {
+
+TEST(PlatformPages, RowsOfThreeColumnsAlone) {
+  EXPECT_EQ(platform::rows_of(""), "");
+  EXPECT_EQ(platform::rows_of("a\t\t\n"), R"(["a","",""])");
+  EXPECT_EQ(platform::rows_of("\xe2\x82\xac\t\x24\t\\\n"), "[\"\xe2\x82\xac\",\"$\",\"\\\\\"]");
+  for (const std::string wrong :
+       {"a\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "a\tb\tc\n\n", "a\tb\t\xff\n", "a\tb\t\x01\n"})
+    EXPECT_EQ(platform::rows_of(wrong), std::nullopt) << wrong;
+  EXPECT_EQ(platform::rows_of(std::string(6'001, 'a')), std::nullopt);
+}
+
+TEST(PlatformPages, LoadReportsByName) {
+  const auto report = platform::read_meter("inflight:7;util:0.61;x0:0.25");
+  ASSERT_TRUE(report);
+  EXPECT_EQ(report->in_flight, 7);
+  EXPECT_EQ(report->cpu_utilization, 0.61);
+  EXPECT_EQ(report->memory_utilization, 0.25);
+  for (const char* wrong :
+       {"", ":", "inflight", "inflight:", "inflight:nan", "inflight:-1", "other:3", "inflight:1x"})
+    EXPECT_FALSE(platform::read_meter(wrong)) << wrong;
+}
+
+}  // namespace
+}  // namespace sablelink::test
--- a/tests/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -1,4 +1,4 @@
-// The platform side on a virtual clock and simulated streams: a gateway's front, carrier and node client,
+// The platform side on a virtual clock and simulated streams: a gateway's front, dispatcher and node client,
 // with scripted nodes and clients.
 #pragma once
 
@@ -14,18 +14,24 @@
 #include <vector>
 
 #include "base/signal.h"
-#include "carrier/carrier.h"
-#include "harness.h"
+#include "dispatch/request_dispatcher.h"
 #include "http/reader.h"
-#include "membership/directory.h"
-#include "platform/front.h"
-#include "platform/node_client.h"
+#include "membership/endpoint_registry.h"
+#include "platform/engine_client/engine_client.h"
+#include "platform/http_server.h"
 #include "sim/streams.h"
 #include "sim/world.h"
-#include "sim_harness.h"
+#include "tests/sim_harness.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 
+inline std::string id_number(int n) {
+  char id[17];
+  std::snprintf(id, sizeof(id), "%016x", n);
+  return id;
+}
+
 class SimDialer : public rpc::Dialer {
  public:
   SimDialer(sim::World& world, sim::Streams& streams, std::shared_ptr<sim::Actor> from)
@@ -181,17 +187,17 @@
     to_nodes.budget.engines = node_connections;
     to_nodes.classes = options_.classes;
     nodes_ = std::make_unique<platform::EngineClient>(to_nodes, net_, *actor_, directory_);
-    carrier_ = std::make_unique<carrier::RequestDispatcher>(settings_, 7, carrier::DispatcherLimits{},
-                                                            *actor_, *nodes_, lists_, log_);
-    nodes_->set_dispatcher(carrier_.get());
-    front_ = std::make_unique<platform::HttpServer>(options_, *carrier_, net_, *actor_);
+    dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(settings_, 7, dispatch::DispatcherLimits{},
+                                                                *actor_, *nodes_, lists_, log_);
+    nodes_->set_dispatcher(dispatcher_.get());
+    front_ = std::make_unique<platform::HttpServer>(options_, *dispatcher_, net_, *actor_);
     streams_.listen("gateway", actor_, [this](auto stream) { return front_->serve(std::move(stream)); });
-    carrier_->start();
+    dispatcher_->start();
   }
   ~PlatformBench() {
     front_.reset();
     nodes_.reset();
-    carrier_.reset();
+    dispatcher_.reset();
     while (world_.step()) continue;  // whoever still waits hears of its end
   }
 
@@ -211,7 +217,7 @@
     }
     directory_.replace(list);
     nodes_->on_endpoints_changed();
-    carrier_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
+    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
   }
   EngineId id_of(const ScriptedNode& node) const {
     for (const Endpoint& e : directory_.endpoints())
@@ -275,11 +281,11 @@
   sim::Streams& streams() { return streams_; }
   platform::EngineClient& nodes() { return *nodes_; }
   platform::HttpServer& front() { return *front_; }
-  carrier::RequestDispatcher& carrier() { return *carrier_; }
+  dispatch::RequestDispatcher& dispatcher() { return *dispatcher_; }
   const CountingLog& log() const { return log_; }
 
  private:
-  struct NoLists : carrier::EndpointSource {
+  struct NoLists : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
   };
@@ -296,7 +302,7 @@
   platform::HttpServerOptions options_;
   membership::EndpointRegistry directory_;
   std::unique_ptr<platform::EngineClient> nodes_;
-  std::unique_ptr<carrier::RequestDispatcher> carrier_;
+  std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
   std::unique_ptr<platform::HttpServer> front_;
   std::vector<std::unique_ptr<ScriptedNode>> scripted_;
 };
--- a/tests/program_harness.h
+++ b/tests/program_harness.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "base/timer_heap.h"
-#include "carrier/carrier.h"
-#include "tests/harness.h"
+#include "dispatch/request_dispatcher.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 
@@ -40,27 +40,27 @@
   TimerHeap calls_;
 };
 
-class FakeNodes : public carrier::EngineTransport {
+class FakeNodes : public dispatch::EngineTransport {
  public:
   struct Sent {
-    carrier::AttemptId key;
+    dispatch::AttemptId key;
     EngineId engine = 0;
-    carrier::AttemptSpec order;
+    dispatch::AttemptSpec order;
     TimeUs at = 0;
     bool dropped = false, ended = false;
   };
   explicit FakeNodes(const Clock& clock) : clock_(clock) {}
-  void start(carrier::AttemptId key, EngineId engine, const carrier::AttemptSpec& order) override {
+  void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override {
     sent.push_back({key, engine, order, clock_.now()});
   }
-  void cancel(carrier::AttemptId key) override {
+  void cancel(dispatch::AttemptId key) override {
     if (Sent* const s = find(key)) s->dropped = true;
   }
-  void resume(carrier::AttemptId) override { ++resumes; }
+  void resume(dispatch::AttemptId) override { ++resumes; }
   void check_health(uint32_t probe, EngineId engine) override { probes.emplace_back(probe, engine); }
   void close_idle_connections(EngineId) override {}
 
-  Sent* find(carrier::AttemptId key) {
+  Sent* find(dispatch::AttemptId key) {
     for (Sent& s : sent)
       if (s.key == key) return &s;
     return nullptr;
@@ -84,19 +84,19 @@
   const Clock& clock_;
 };
 
-class FakeClient : public carrier::ResponseSink {
+class FakeClient : public dispatch::ResponseSink {
  public:
   void write(std::string message) override {
     bytes += message.size();
     messages.push_back(std::move(message));
   }
-  void finish(const carrier::FinalResponse& answer) override { answers.push_back(answer); }
+  void finish(const dispatch::FinalResponse& answer) override { answers.push_back(answer); }
   std::vector<std::string> messages;
-  std::vector<carrier::FinalResponse> answers;
+  std::vector<dispatch::FinalResponse> answers;
   size_t bytes = 0;
 };
 
-class FakeLists : public carrier::EndpointSource {
+class FakeLists : public dispatch::EndpointSource {
  public:
   void watch(bool) override { ++asked; }
   void fetch() override { ++asked; }
@@ -104,12 +104,12 @@
 };
 
 // One carrier with two ready engines, ids 1 and 2.
-class CarrierBench {
+class DispatcherFixture {
  public:
-  explicit CarrierBench(Settings settings = plain_settings(), carrier::DispatcherLimits limits = {})
-      : nodes(clock), carrier(std::move(settings), 7, limits, clock, nodes, lists, log) {
-    carrier.start();
-    carrier.on_endpoints_changed(EndpointUpdateKind::kFull, {engine(1), engine(2)});
+  explicit DispatcherFixture(Settings settings = plain_settings(), dispatch::DispatcherLimits limits = {})
+      : nodes(clock), dispatcher(std::move(settings), 7, limits, clock, nodes, lists, log) {
+    dispatcher.start();
+    dispatcher.on_endpoints_changed(EndpointUpdateKind::kFull, {engine(1), engine(2)});
   }
 
   RequestId take(std::shared_ptr<FakeClient> client, TimeUs patience = 5 * kSecond, int cls = 0,
@@ -118,24 +118,24 @@
     q.class_index = cls;
     q.key = key;
     q.deadline = clock.now() + patience;
-    auto statement = std::make_shared<carrier::Statement>();
+    auto statement = std::make_shared<dispatch::Statement>();
     statement->text = "SELECT 1";
-    return carrier.submit(q, std::move(statement), std::move(client));
+    return dispatcher.submit(q, std::move(statement), std::move(client));
   }
   void end(FakeNodes::Sent& sent, Outcome outcome, bool statement_fault = false) {
     sent.ended = true;
-    carrier::AttemptResult result;
+    dispatch::AttemptResult result;
     result.outcome = outcome;
     result.is_statement_error = statement_fault;
     if (outcome != Outcome::kOk) result.error = {13, "trouble"};
-    carrier.on_attempt_completed(sent.key, result);
+    dispatcher.on_attempt_completed(sent.key, result);
   }
 
   ManualClock clock;
   FakeNodes nodes;
   FakeLists lists;
   NullLog log;
-  carrier::RequestDispatcher carrier;
+  dispatch::RequestDispatcher dispatcher;
 };
 
 }  // namespace sablelink::test
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -133,7 +133,7 @@
   }
   schemas::Store::Counts store_counts() {
     schemas::Store::Counts counts;
-    gateway_->inspect([&](const carrier::RequestDispatcher&, const flightsql::FlightSqlServer& f) {
+    gateway_->inspect([&](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& f) {
       counts = f.columns().store().counts();
     });
     return counts;
@@ -494,7 +494,7 @@
   }
   EXPECT_GT(plans(), 0u);
   EXPECT_LE(plans(), 50u) << "what is over the budget goes without";
-  gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer& f) {
+  gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer& f) {
     EXPECT_LE(f.columns().store().size(), 500u);
     EXPECT_LE(f.columns().store().bytes(), 128u << 10);
     EXPECT_EQ(f.columns().planning().waiting(), 0u);
@@ -545,7 +545,7 @@
     const std::string lookup = "SELECT id FROM gallery /*+ work=100us */ WHERE id = " + std::to_string(i);
     ASSERT_EQ(read(info(lookup), lookup), "");
     if (i % 10 != 0) continue;
-    gateway_->inspect([&](const carrier::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
+    gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
       most = std::max(most, c.buffered_bytes());
     });
   }
--- a/tests/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,11 +1,11 @@
 // The codec against the byte examples of the wire's description, and on input that is malformed.
-#include "benchlink/codec.h"
+#include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
 
-#include "benchlink/host.h"
+#include "simulator_adapter/simulator_host.h"
 
-namespace sablelink::benchlink {
+namespace sablelink::simulator_adapter {
 namespace {
 
 std::string from_hex(const std::string& hex) {
@@ -150,4 +150,4 @@
 }
 
 }  // namespace
-}  // namespace sablelink::benchlink
+}  // namespace sablelink::simulator_adapter
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -12,7 +12,7 @@
 #include "rpc/grpc_loop.h"
 #include "rpc/grpc_server.h"
 #include "sim/network.h"
-#include "sim_harness.h"
+#include "tests/sim_harness.h"
 
 namespace sablelink {
 namespace {
--- a/tests/harness.h
+++ b/tests/workload/harness.h
@@ -6,7 +6,10 @@
 #include <utility>
 #include <vector>
 
-#include "gateway.h"
+#include "workload/events.h"
+#include "workload/settings.h"
+#include "workload/types.h"
+#include "workload/workload_manager.h"
 
 namespace sablelink::test {
 
--- a/tests/probe_test.cpp
+++ b/tests/workload/health_check_test.cpp
@@ -5,7 +5,7 @@
 #include <limits>
 #include <set>
 
-#include "harness.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 namespace {
--- a/tests/policy_test.cpp
+++ b/tests/workload/policy_test.cpp
@@ -4,7 +4,7 @@
 
 #include <set>
 
-#include "harness.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/workload/rules_test.cpp
@@ -1,7 +1,7 @@
 // The seven rules, each by a case in which a send or an answer would break it.
 #include <gtest/gtest.h>
 
-#include "harness.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 namespace {
--- a/tests/settings_test.cpp
+++ b/tests/workload/settings_parser_test.cpp
@@ -1,4 +1,4 @@
-#include "settings.h"
+#include "workload/settings_parser.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/size_test.cpp
+++ b/tests/workload/size_test.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "harness.h"
+#include "tests/workload/harness.h"
 
 namespace sablelink::test {
 namespace {
