--- a/src/arrowipc/array.cpp
+++ b/src/arrowipc/array.cpp
@@ -202,7 +202,7 @@
   if (const auto* b = std::get_if<bool>(&value)) return *b ? "true" : "false";
   if (const auto* i = std::get_if<int64_t>(&value)) return std::to_string(*i);
   if (const auto* d = std::get_if<double>(&value)) return std::to_string(*d);
-  const std::string& s = std::get<std::string>(value);
+  const auto& s = std::get<std::string>(value);
   return quoted ? "\"" + s + "\"" : s;
 }
 
@@ -243,7 +243,7 @@
       return text + "}";
     }
     case Type::kDenseUnion: {
-      const int child = array.data[row];
+      const int child = array.data[row];  // NOLINT(bugprone-signed-char-misuse): a type id is a signed byte
       return value_at(array.children[child], field.children[child], load<int32_t>(array.offsets, row));
     }
     default:
--- a/src/arrowipc/ipc.cpp
+++ b/src/arrowipc/ipc.cpp
@@ -352,7 +352,7 @@
 
   static void check_union(const Field& field, const Array& a) {
     for (int64_t i = 0; i < a.length; ++i) {
-      const int child = a.data[i];
+      const int child = a.data[i];  // NOLINT(bugprone-signed-char-misuse): a type id is a signed byte
       if (child < 0 || child >= static_cast<int>(a.children.size()))
         refuse("column '" + field.name + "': unknown type id at row " + std::to_string(i));
       const int32_t at = offset_at(a, i);
@@ -445,7 +445,8 @@
 }
 
 Schema decode_encapsulated_schema(std::string_view bytes) {
-  uint32_t marker = 0, size = 0;
+  uint32_t marker = 0;
+  uint32_t size = 0;
   if (bytes.size() < 8) refuse("an encapsulated message of " + std::to_string(bytes.size()) + " bytes");
   std::memcpy(&marker, bytes.data(), 4);
   std::memcpy(&size, bytes.data() + 4, 4);
--- a/src/badday/process.cpp
+++ b/src/badday/process.cpp
@@ -2,7 +2,6 @@
 
 #include <fcntl.h>
 #include <poll.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -10,11 +9,10 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
+#include <csignal>
 #include <stdexcept>
 #include <thread>
 
-extern char** environ;
-
 namespace sablelink::badday {
 
 std::string free_address() {
--- a/src/flightsql/catalog.cpp
+++ b/src/flightsql/catalog.cpp
@@ -287,7 +287,10 @@
 }
 
 bool like(std::string_view text, std::string_view pattern) {
-  size_t t = 0, p = 0, star = std::string_view::npos, from = 0;
+  size_t t = 0;
+  size_t p = 0;
+  size_t star = std::string_view::npos;
+  size_t from = 0;
   while (t < text.size()) {
     if (p < pattern.size() && pattern[p] == '%') {
       star = p++;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -438,7 +438,7 @@
     reply->asked = columns_.moment();
   }
   reply->id = dispatcher_.submit(query, std::move(statement), reply);
-  std::multimap<uint64_t, std::weak_ptr<Reply>>::iterator listed = running_.end();
+  auto listed = running_.end();
   if (serial != 0) listed = running_.emplace(serial, reply);
   call->on_cancelled([this, reply] {
     dispatcher_.on_client_disconnected(reply->id);
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -104,18 +104,21 @@
   static constexpr int64_t kPerSecond[] = {1, 1'000, 1'000'000, 1'000'000'000};
   static constexpr int kDigits[] = {0, 3, 6, 9};
   const int64_t per = kPerSecond[static_cast<int>(unit)];
-  int64_t seconds = value / per, rest = value % per;
+  int64_t seconds = value / per;
+  int64_t rest = value % per;
   if (rest < 0) {
     rest += per;
     --seconds;
   }
-  int64_t days = seconds / 86400, of_day = seconds % 86400;
+  int64_t days = seconds / 86400;
+  int64_t of_day = seconds % 86400;
   if (of_day < 0) {
     of_day += 86400;
     --days;
   }
   int64_t year = 0;
-  int month = 0, day = 0;
+  int month = 0;
+  int day = 0;
   civil(days, year, month, day);
   char text[96];
   int n = std::snprintf(text, sizeof(text), "%04lld-%02d-%02d %02d:%02d:%02d", static_cast<long long>(year),
--- a/src/nodes/engine.cpp
+++ b/src/nodes/engine.cpp
@@ -113,7 +113,8 @@
 // Cores go to threads in parts by priority, none to a thread past one core; reading slows all that read where
 // the disks are short.
 void Engine::share_out() {
-  double threads = 0, reading = 0;
+  double threads = 0;
+  double reading = 0;
   for (const auto& [id, r] : running_) {
     threads += r.job.threads;
     reading += r.job.threads * r.job.io;
@@ -197,7 +198,8 @@
 
 LoadReport Engine::report() const {
   LoadReport out;
-  double threads = 0, reading = 0;
+  double threads = 0;
+  double reading = 0;
   for (const auto& [id, r] : running_) {
     threads += r.job.threads;
     reading += r.job.threads * r.job.io;
--- a/src/nodes/node_config.cpp
+++ b/src/nodes/node_config.cpp
@@ -97,7 +97,8 @@
     text = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
     const size_t eq = item.find('=');
     if (eq == std::string_view::npos) continue;
-    const std::string_view key = item.substr(0, eq), value = item.substr(eq + 1);
+    const std::string_view key = item.substr(0, eq);
+    const std::string_view value = item.substr(eq + 1);
     if (key == "work")
       hint.work_us = static_cast<double>(config::parse_time(value).value_or(5'000));
     else if (key == "threads")
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -51,7 +51,7 @@
   std::vector<std::pair<bool, std::function<void()>>> held;  // sent while it was cut
   std::vector<std::weak_ptr<Call>> calls;
 
-  explicit Connection(RandomStream r) : random(std::move(r)) {}
+  explicit Connection(RandomStream r) : random(r) {}
 };
 
 // Both halves of a call. Each is touched in events of its own side alone, but for the facts.
@@ -484,7 +484,7 @@
   }
   const TimeUs arrives = terms_.arrival(world_.now(), slowed(connection->address), &connection->random,
                                         &connection->arrives[to_server ? 1 : 0]);
-  world_.at(arrives, [this, connection, to_server, fn = std::move(fn)]() mutable {
+  world_.at(arrives, [connection, to_server, fn = std::move(fn)]() mutable {
     if (connection->state == Connection::State::kBroken || connection->silent) return;
     if (connection->cut) {  // it was on its way when the line went
       connection->held.emplace_back(to_server, std::move(fn));
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -815,7 +815,8 @@
 void count_pairs(const Scenario& scenario, Pairs* pairs) {
   for (size_t i = 0; i < scenario.troubles.size(); ++i) {
     for (size_t k = i; k < scenario.troubles.size(); ++k) {
-      const TroubleEvent &a = scenario.troubles[i], &b = scenario.troubles[k];
+      const TroubleEvent& a = scenario.troubles[i];
+      const TroubleEvent& b = scenario.troubles[k];
       if (i != k && (a.at > b.at + b.how_long || b.at > a.at + a.how_long)) continue;
       const int low = std::min(static_cast<int>(a.kind), static_cast<int>(b.kind));
       const int high = std::max(static_cast<int>(a.kind), static_cast<int>(b.kind));
--- a/src/sim/streams.cpp
+++ b/src/sim/streams.cpp
@@ -27,7 +27,7 @@
   std::string address;
   Side sides[2];
   RandomStream random;
-  explicit Connection(RandomStream r) : random(std::move(r)) {}
+  explicit Connection(RandomStream r) : random(r) {}
 };
 
 class Streams::End : public rpc::ByteStream {
@@ -111,7 +111,9 @@
  private:
   // All of it, or a part that the seed draws.
   static size_t piece(Connection& c, size_t most) {
-    return most > 1 && c.random.chance(0.5) ? static_cast<size_t>(c.random.between(1, most)) : most;
+    return most > 1 && c.random.chance(0.5)
+               ? static_cast<size_t>(c.random.between(1, static_cast<int64_t>(most)))
+               : most;
   }
 
   Streams& streams_;
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -97,12 +97,12 @@
     ++at_;
     while (at_ < text_.size()) {
       const char c = peek();
-      if (backslashes && c == '\\') {
+      const bool escaped = backslashes && c == '\\';
+      const bool doubled = c == quote && peek(1) == quote;
+      if (escaped || doubled) {
         at_ += 2;
       } else if (c != quote) {
         ++at_;
-      } else if (peek(1) == quote) {
-        at_ += 2;
       } else {
         ++at_;
         return;
@@ -278,7 +278,8 @@
 
 std::string substitute(std::string_view statement, const std::vector<std::string>& literals) {
   std::string out;
-  size_t done = 0, used = 0;
+  size_t done = 0;
+  size_t used = 0;
   for (const Token& t : tokenize(statement)) {
     if (t.kind != TokenKind::kParameter) continue;
     if (used == literals.size())
