--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -271,7 +271,7 @@
   // A gateway to the node, which takes it to have so many cores.
   const auto gateway_file = [&](const std::string& name, const std::string& listen, int cores,
                                 const std::string& extra = "") {
-    const std::string file = folder / (name + ".toml");
+    std::string file = folder / (name + ".toml");
     std::ofstream(file) << "[gateway]\nname = \"" << name << "\"\nlisten = \"" << listen
                         << "\"\nlog_level = \"error\"\n[limits]\nopen_per_connection = 100000\n"
                         << "[[kind]]\nname = \"k\"\ncores = " << cores
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cstdio>
-#include <ranges>
 
 namespace sablelink::audit {
 namespace {
@@ -60,8 +59,8 @@
   const auto it = requests_.find(request);
   if (it == requests_.end()) return nullptr;
   // The last of the number: one that was sent twice is a finding of its own.
-  for (const auto& a : std::ranges::reverse_view(it->second->attempts))
-    if (a->number == attempt) return a.get();
+  for (auto a = it->second->attempts.rbegin(); a != it->second->attempts.rend(); ++a)
+    if ((*a)->number == attempt) return a->get();
   return nullptr;
 }
 
@@ -383,8 +382,8 @@
   // The window by the gateway's own clock: where that went forward, it reaches back less far.
   TimeUs from = a.from - s_.rules.retry_budget_window_us;
   if (const auto jumps = jumps_.find(a.gateway); jumps != jumps_.end())
-    for (const auto& [at, length] : std::ranges::reverse_view(jumps->second))
-      if (at >= from && at <= a.from) from = std::min(from + length, at);
+    for (auto it = jumps->second.rbegin(); it != jumps->second.rend(); ++it)
+      if (it->first >= from && it->first <= a.from) from = std::min(from + it->second, it->first);
   while (list.front().first <= from) list.pop_front();
   int made = 0;
   for (const auto& [at, n] : list)
--- a/src/flightsql/client.cpp
+++ b/src/flightsql/client.cpp
@@ -63,7 +63,7 @@
 }
 
 std::shared_ptr<rpc::ClientCall> Client::call(std::string_view method, const ClientOptions& options) {
-  const std::shared_ptr<rpc::ClientCall> made =
+  std::shared_ptr<rpc::ClientCall> made =
       channel_->call(std::string(kServicePrefix) + std::string(method), options.headers, options.timeout_us);
   if (options.cancel) options.cancel->add(made);
   return made;
@@ -79,7 +79,7 @@
   }
   fsql::CommandStatementQuery command;
   command.set_query(std::move(statement));
-  const std::shared_ptr<rpc::ClientCall> made = call("GetFlightInfo", options);
+  std::shared_ptr<rpc::ClientCall> made = call("GetFlightInfo", options);
   std::string bytes = descriptor_of(command).SerializeAsString();
   co_await made->write(std::move(bytes), true);
   const std::optional<std::string> message = co_await made->read();
@@ -98,7 +98,7 @@
 Awaitable<QueryResult> Client::fetch(std::string ticket, ClientOptions options, OnBatch on_batch) {
   QueryResult out;
   out.connected = true;
-  const std::shared_ptr<rpc::ClientCall> made = call("DoGet", options);
+  std::shared_ptr<rpc::ClientCall> made = call("DoGet", options);
   co_await made->write(std::move(ticket), true);
   std::string problem;
   for (int number = 0;; ++number) {
@@ -177,7 +177,7 @@
   command.set_query(std::move(statement));
   flight::FlightData data;
   *data.mutable_flight_descriptor() = descriptor_of(command);
-  const std::shared_ptr<rpc::ClientCall> made = call("DoPut", options);
+  std::shared_ptr<rpc::ClientCall> made = call("DoPut", options);
   std::string bytes = data.SerializeAsString();
   co_await made->write(std::move(bytes), true);
   while (const std::optional<std::string> message = co_await made->read()) {
@@ -201,7 +201,7 @@
   flight::Action action;
   action.set_type(std::move(type));
   action.set_body(std::move(body));
-  const std::shared_ptr<rpc::ClientCall> made = call("DoAction", options);
+  std::shared_ptr<rpc::ClientCall> made = call("DoAction", options);
   std::string bytes = action.SerializeAsString();
   co_await made->write(std::move(bytes), true);
   while (const std::optional<std::string> message = co_await made->read()) {
