--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -57,7 +57,7 @@
   sim::World world(7, account);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log"), gateway = sim::Actor::make(world, "gateway");
-  SimDialer net(world, streams, gateway);
+  SimulatedDialer net(world, streams, gateway);
   int asked = 0;
   bool trickles = true, drained = false;
   const std::string event = R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-1","health":"gone"}]}})"
@@ -105,7 +105,7 @@
   sim::World world(7, account);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log"), gateway = sim::Actor::make(world, "gateway");
-  SimDialer net(world, streams, gateway);
+  SimulatedDialer net(world, streams, gateway);
   std::vector<std::string> events;
   const auto say = [&](int seq) {
     events.push_back(R"({"seq":)" + std::to_string(seq) + R"(,"fleet":{"whole":false,"hosts":[{"host":"n)" +
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -6,12 +6,12 @@
 namespace sablelink::test {
 namespace {
 
-using Answer = PlatformBench::Answer;
+using ClientResponse = PlatformFixture::ClientResponse;
 
 // ---- Clients that send what they should not --------------------------------------------------------------
 
 TEST(Platform, WhatIsNoCallIsTurnedAwayAndReachesNoNode) {
-  const std::string id = id_number(5);
+  const std::string id = make_request_id(5);
   const auto post = [&](const std::string& fields, const std::string& body = "SELECT 1") {
     return "POST /v1/lookup HTTP/1.1\r\nHost: h\r\n" + fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -48,61 +48,61 @@
       {"\x16\x03\x01\x05 hello\r\n\r\n", 400},
   };
   for (const auto& [bytes, status] : cases) {
-    PlatformBench b;
-    ScriptedNode& node = b.add_node();
-    b.tell();
-    const auto answer = b.start(bytes);
+    PlatformFixture b;
+    ScriptedEngine& node = b.add_engine();
+    b.publish_endpoints();
+    const auto answer = b.send(bytes);
     b.run_for(3 * kSecond);
     EXPECT_EQ(answer->status, status) << bytes.substr(0, 160);
-    EXPECT_EQ(node.seen.size(), 0u) << bytes.substr(0, 160);
+    EXPECT_EQ(node.received_requests.size(), 0u) << bytes.substr(0, 160);
     EXPECT_EQ(b.dispatcher().counters().accepted, 0u);
   }
 }
 
 TEST(Platform, HalfACallAndSilenceAreClosedWithinThreeSeconds) {
-  const std::string whole = PlatformBench::statement(id_number(1));
+  const std::string whole = PlatformFixture::make_query(make_request_id(1));
   for (const std::string& half : {std::string(), whole.substr(0, 30), whole.substr(0, whole.size() - 3)}) {
-    PlatformBench b;
-    b.add_node();
-    b.tell();
-    const auto answer = b.start(half);
+    PlatformFixture b;
+    b.add_engine();
+    b.publish_endpoints();
+    const auto answer = b.send(half);
     b.run_for(5 * kSecond);
     EXPECT_EQ(answer->status, 408) << half.size();
-    EXPECT_LT(answer->took_us, 3 * kSecond);
-    EXPECT_EQ(b.front().connections(), 0u);
+    EXPECT_LT(answer->elapsed_us, 3 * kSecond);
+    EXPECT_EQ(b.http_server().connections(), 0u);
   }
 }
 
 TEST(Platform, TheIdOfAnOpenRequestIsTakenOnce) {
-  PlatformBench b;
-  ScriptedNode& node = b.add_node();
-  node.work_us = 500'000;
-  b.tell();
-  const auto first = b.start(PlatformBench::statement(id_number(1)));
+  PlatformFixture b;
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 500'000;
+  b.publish_endpoints();
+  const auto first = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(50 * kMs);
-  const auto second = b.start(PlatformBench::statement(id_number(1), "DELETE FROM sales_17.orders"));
+  const auto second = b.send(PlatformFixture::make_query(make_request_id(1), "DELETE FROM sales_17.orders"));
   b.run_for(2 * kSecond);
   EXPECT_EQ(first->status, 200);
   EXPECT_EQ(second->status, 409);
-  EXPECT_EQ(node.count("POST"), 1u);
+  EXPECT_EQ(node.request_count("POST"), 1u);
   // Once it is over, the id is free.
-  const auto third = b.start(PlatformBench::statement(id_number(1)));
+  const auto third = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(2 * kSecond);
   EXPECT_EQ(third->status, 200);
 }
 
 // Hundreds that connect and say nothing don't keep a usual client out.
 TEST(Platform, SilentConnectionsMakeRoom) {
-  PlatformBench b(10);
-  b.add_node();
-  b.tell();
-  std::vector<std::shared_ptr<Answer>> silent;
+  PlatformFixture b(10);
+  b.add_engine();
+  b.publish_endpoints();
+  std::vector<std::shared_ptr<ClientResponse>> silent;
   for (int i = 0; i < 200; ++i) {
-    silent.push_back(b.start(""));
+    silent.push_back(b.send(""));
     b.run_for(2 * kMs);
   }
-  EXPECT_LE(b.front().connections(), 10u);
-  const auto usual = b.start(PlatformBench::statement(id_number(1)));
+  EXPECT_LE(b.http_server().connections(), 10u);
+  const auto usual = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(kSecond);
   EXPECT_EQ(usual->status, 200);
   b.run_for(5 * kSecond);
@@ -127,31 +127,31 @@
     int* const asked;
   };
   int asked = 0;
-  PlatformBench b(100);
+  PlatformFixture b(100);
   constexpr int kComing = 300;
   std::vector<std::shared_ptr<QuietStream>> streams;
   for (int i = 0; i < kComing; ++i) {
     streams.push_back(std::make_shared<QuietStream>(&asked));
-    boost::asio::co_spawn(b.world().executor(), b.front().serve(streams.back()), boost::asio::detached);
+    boost::asio::co_spawn(b.world().executor(), b.http_server().serve(streams.back()), boost::asio::detached);
     b.run_for(kMs);
   }
-  EXPECT_GE(b.front().counters().evicted, 200u);
+  EXPECT_GE(b.http_server().counters().evicted, 200u);
   EXPECT_LE(asked, kComing);
   for (const auto& stream : streams) stream->close();
   b.run_for(kMs);
-  EXPECT_EQ(b.front().connections(), 0u);
+  EXPECT_EQ(b.http_server().connections(), 0u);
 }
 
 // A connection at work is never given up for one that comes new.
 TEST(Platform, OpenRequestsKeepTheirConnections) {
-  PlatformBench b(4);
-  ScriptedNode& node = b.add_node();
-  node.work_us = 800'000;
-  b.tell();
-  std::vector<std::shared_ptr<Answer>> open;
-  for (int i = 1; i <= 4; ++i) open.push_back(b.start(PlatformBench::statement(id_number(i))));
+  PlatformFixture b(4);
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 800'000;
+  b.publish_endpoints();
+  std::vector<std::shared_ptr<ClientResponse>> open;
+  for (int i = 1; i <= 4; ++i) open.push_back(b.send(PlatformFixture::make_query(make_request_id(i))));
   b.run_for(100 * kMs);
-  const auto further = b.start(PlatformBench::statement(id_number(9)));
+  const auto further = b.send(PlatformFixture::make_query(make_request_id(9)));
   b.run_for(2 * kSecond);
   for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(further->status, 0);
@@ -159,48 +159,51 @@
 
 // Where all are at work, one that comes further is told so, and reaches no node.
 TEST(Platform, WhereAllConnectionsAreAtWorkOneIsToldSo) {
-  PlatformBench b(10);
-  ScriptedNode& node = b.add_node();
-  node.work_us = 800'000;
-  b.tell();
-  std::vector<std::shared_ptr<Answer>> open;
-  for (int i = 1; i <= 9; ++i) open.push_back(b.start(PlatformBench::statement(id_number(i))));
+  PlatformFixture b(10);
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 800'000;
+  b.publish_endpoints();
+  std::vector<std::shared_ptr<ClientResponse>> open;
+  for (int i = 1; i <= 9; ++i) open.push_back(b.send(PlatformFixture::make_query(make_request_id(i))));
   b.run_for(100 * kMs);
-  const auto further = b.start(PlatformBench::statement(id_number(10)));
+  const auto further = b.send(PlatformFixture::make_query(make_request_id(10)));
   b.run_for(2 * kSecond);
   for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(further->status, 503);
   EXPECT_EQ(further->body, R"({"failure":"Full"})");
-  EXPECT_EQ(b.front().counters().no_room, 1u);
+  EXPECT_EQ(b.http_server().counters().no_room, 1u);
 }
 
 // What comes behind an open call has its time from when it came, not from when its turn comes.
 TEST(Platform, AClientsTimeRunsWhileItsCallWaitsBehindAnother) {
-  PlatformBench b;
-  ScriptedNode& node = b.add_node();
-  node.work_us = 1'500'000;
-  b.tell();
-  const auto second = b.start(PlatformBench::statement(id_number(1), "SELECT 1", "report", "9000") +
-                                  PlatformBench::statement(id_number(2), "SELECT 2", "lookup", "1000"),
-                              10 * kSecond, 2);
+  PlatformFixture b;
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 1'500'000;
+  b.publish_endpoints();
+  const auto second =
+      b.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "report", "9000") +
+                 PlatformFixture::make_query(make_request_id(2), "SELECT 2", "lookup", "1000"),
+             10 * kSecond, 2);
   b.run_for(4 * kSecond);
   EXPECT_EQ(second->status, 503);
-  for (const auto& seen : node.seen) EXPECT_NE(http::find(seen.request.fields, "x-ticket"), id_number(2));
+  for (const auto& seen : node.received_requests)
+    EXPECT_NE(http::find(seen.request.fields, "x-ticket"), make_request_id(2));
   EXPECT_EQ(b.dispatcher().counters().rejected, 1u);
 }
 
 // Many calls at once are read as answers make room, and none is lost.
 TEST(Platform, ManyCallsAtOnceOnOneConnectionAreAllAnswered) {
-  PlatformBench b;
-  ScriptedNode& node = b.add_node();
-  node.work_us = 1'000;
-  b.tell();
+  PlatformFixture b;
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 1'000;
+  b.publish_endpoints();
   std::string all;
   constexpr int kCalls = 60;
   for (int i = 1; i <= kCalls; ++i)
-    all += PlatformBench::statement(id_number(i), "SELECT '" + std::string(600, 'x') + "'", "report", "9000");
+    all += PlatformFixture::make_query(make_request_id(i), "SELECT '" + std::string(600, 'x') + "'", "report",
+                                       "9000");
   ASSERT_GT(all.size(), 32u << 10);
-  const auto last = b.start(all, 10 * kSecond, kCalls);
+  const auto last = b.send(all, 10 * kSecond, kCalls);
   b.run_for(5 * kSecond);
   EXPECT_EQ(last->status, 200);
   EXPECT_EQ(b.dispatcher().counters().served, static_cast<uint64_t>(kCalls));
@@ -208,38 +211,38 @@
 
 // Closed while at rest, a connection takes nothing more; what has come before that is answered.
 TEST(Platform, WhatComesAfterTheCloseOfARestingConnectionIsNotTaken) {
-  PlatformBench b;
-  ScriptedNode& node = b.add_node();
-  node.work_us = 100'000;
-  b.tell();
-  const auto open = b.start(PlatformBench::statement(id_number(1)));
+  PlatformFixture b;
+  ScriptedEngine& node = b.add_engine();
+  node.execution_time_us = 100'000;
+  b.publish_endpoints();
+  const auto open = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(50 * kMs);
-  b.front().start_draining();
-  b.front().close_idle_connections();
+  b.http_server().start_draining();
+  b.http_server().close_idle_connections();
   b.run_for(kSecond);
   EXPECT_EQ(open->status, 200);
-  EXPECT_TRUE(b.front().is_idle());
+  EXPECT_TRUE(b.http_server().is_idle());
 }
 
 TEST(Platform, HealthSaysWhenItLeaves) {
-  PlatformBench b;
+  PlatformFixture b;
   const std::string health = http::write_request("GET", "/healthz", "h", {});
-  const auto before = b.start(health);
+  const auto before = b.send(health);
   b.run_for(100 * kMs);
   EXPECT_EQ(before->status, 200);
-  b.front().start_draining();
-  const auto after = b.start(health);
+  b.http_server().start_draining();
+  const auto after = b.send(health);
   b.run_for(100 * kMs);
   EXPECT_EQ(after->status, 503);
   EXPECT_EQ(http::find(after->fields, "connection"), "close");
 }
 
 TEST(Platform, ARefusalTellsWhenToComeBack) {
-  PlatformBench b;  // no node is known: nothing can be served
-  b.add_node();
-  b.tell();
+  PlatformFixture b;  // no node is known: nothing can be served
+  b.add_engine();
+  b.publish_endpoints();
   b.streams().unlisten("10.0.0.1:10080");
-  const auto answer = b.start(PlatformBench::statement(id_number(1)));
+  const auto answer = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(4 * kSecond);
   EXPECT_EQ(answer->status, 503);
   EXPECT_EQ(answer->body, R"({"failure":"Full"})");
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -1,5 +1,5 @@
-// The platform side on a virtual clock and simulated streams: a gateway's front, dispatcher and node client,
-// with scripted nodes and clients.
+// The platform side on a virtual clock and simulated streams: a gateway's HTTP server, request dispatcher and
+// engine client, with scripted engines and clients.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,15 +26,17 @@
 
 namespace sablelink::test {
 
-inline std::string id_number(int n) {
+/// A valid X-Request-Id, unique for each number.
+inline std::string make_request_id(int number) {
   char id[17];
-  std::snprintf(id, sizeof(id), "%016x", n);
+  std::snprintf(id, sizeof(id), "%016x", number);
   return id;
 }
 
-class SimDialer : public rpc::Dialer {
+/// Connects through the simulated network on behalf of one actor.
+class SimulatedDialer : public rpc::Dialer {
  public:
-  SimDialer(sim::World& world, sim::Streams& streams, std::shared_ptr<sim::Actor> from)
+  SimulatedDialer(sim::World& world, sim::Streams& streams, std::shared_ptr<sim::Actor> from)
       : world_(world), streams_(streams), from_(std::move(from)) {}
   boost::asio::any_io_executor executor() const override { return world_.executor(); }
   rpc::Awaitable<std::shared_ptr<rpc::ByteStream>> connect(std::string address, TimeUs within,
@@ -48,80 +50,83 @@
   const std::shared_ptr<sim::Actor> from_;
 };
 
-// What a scripted node does with a call.
-struct NodeReply {
+/// What a scripted engine does with a request.
+struct ScriptedResponse {
   std::string bytes;
-  TimeUs after = 0;
-  bool breaks = false;  // the connection, after the bytes
-  bool silent = false;  // nothing is answered, the connection stands
-  std::string then{};   // comes 2 ms after the answer
-  bool unread = false;  // the call hasn't reached the node
+  TimeUs delay_us = 0;
+  bool closes_connection = false;  // after the bytes
+  bool is_withheld = false;        // no response is sent; the connection stays open
+  std::string trailing_bytes{};    // sent 2 ms after the response
+  bool is_unread = false;          // the request is not recorded, as if it had been lost on its way
 };
 
-// A node that works off queries by the protocol, unless its script says otherwise for a call.
-class ScriptedNode {
+/// An engine that executes queries as the protocol says, unless its script answers a request in another way.
+class ScriptedEngine {
  public:
-  struct Seen {
-    TimeUs at = 0;
-    int connection = 0;
+  struct ReceivedRequest {
+    TimeUs received_at = 0;
+    int connection_number = 0;  // counted from 1
     http::Request request;
-    std::string call() const { return request.method + " " + request.target; }
+    std::string method_and_target() const { return request.method + " " + request.target; }
   };
 
-  ScriptedNode(sim::World& world, sim::Streams& streams, std::string address)
+  ScriptedEngine(sim::World& world, sim::Streams& streams, std::string address)
       : world_(world), actor_(sim::Actor::make(world, "node/" + address)), address_(std::move(address)) {
     streams.listen(address_, actor_,
                    [this](std::shared_ptr<rpc::ByteStream> s) { return serve(std::move(s)); });
   }
 
-  TimeUs work_us = 100'000;
-  std::vector<std::string> pages = {"a\t1\tx\n"};
-  std::function<std::optional<NodeReply>(const Seen& seen)> script;
-  std::vector<Seen> seen;
+  TimeUs execution_time_us = 100'000;
+  std::vector<std::string> result_pages = {"a\t1\tx\n"};
+  std::function<std::optional<ScriptedResponse>(const ReceivedRequest& received)> script;
+  std::vector<ReceivedRequest> received_requests;
 
   const std::string& address() const { return address_; }
-  size_t count(std::string_view call) const {
+  /// How many requests started with this method and target.
+  size_t request_count(std::string_view prefix) const {
     size_t n = 0;
-    for (const Seen& s : seen) n += s.call().starts_with(call);
+    for (const ReceivedRequest& received : received_requests)
+      n += received.method_and_target().starts_with(prefix);
     return n;
   }
-  const Seen* first(std::string_view call) const {
-    for (const Seen& s : seen)
-      if (s.call().starts_with(call)) return &s;
+  const ReceivedRequest* first_request(std::string_view prefix) const {
+    for (const ReceivedRequest& received : received_requests)
+      if (received.method_and_target().starts_with(prefix)) return &received;
     return nullptr;
   }
-  int connections() const { return connections_; }
-  // The good end of a query, or page `number`.
-  std::string page(size_t number) const {
-    http::Fields fields = {{"Page-No", std::to_string(number)}};
-    if (number == 0)
-      fields = {{"Page-Count", std::to_string(pages.size())},
+  int connection_count() const { return connections_; }
+  /// The response with one page of the result; page 0 also reports the successful end of the query.
+  std::string page_response(size_t page) const {
+    http::Fields fields = {{"Page-No", std::to_string(page)}};
+    if (page == 0)
+      fields = {{"Page-Count", std::to_string(result_pages.size())},
                 {"Work-Ms", "90"},
                 {"Peak-Mb", "12"},
                 {"X-Meter", "concurrent:3;x0:0.5"}};
-    return http::write_response(200, fields, pages[number], true);
+    return http::write_response(200, fields, result_pages[page], true);
   }
 
  private:
-  NodeReply usual(const Seen& s) {
-    const std::string& target = s.request.target;
-    std::string id(http::find(s.request.fields, "x-ticket"));
+  ScriptedResponse protocol_response(const ReceivedRequest& received) {
+    const std::string& target = received.request.target;
+    std::string id(http::find(received.request.fields, "x-ticket"));
     std::string part = "0";
-    if (s.request.method != "POST") {
+    if (received.request.method != "POST") {
       const size_t slash = target.rfind('/');
-      id = s.request.method == "GET" ? target.substr(6, slash - 6) : target.substr(6);
+      id = received.request.method == "GET" ? target.substr(6, slash - 6) : target.substr(6);
       part = target.substr(slash + 1);
     }
-    if (s.request.method == "POST") ends_[id] = s.at + work_us;
-    if (s.request.method == "DELETE") {
-      ends_.erase(id);
+    if (received.request.method == "POST") completion_times_[id] = received.received_at + execution_time_us;
+    if (received.request.method == "DELETE") {
+      completion_times_.erase(id);
       return {http::write_response(204, {}, "", true)};
     }
-    const auto it = ends_.find(id);
-    if (it == ends_.end()) return {http::write_response(500, {}, "", true)};
-    if (part != "0") return {page(std::stoul(part))};
-    if (it->second - s.at <= 250'000) return {page(0), std::max<TimeUs>(it->second - s.at, 0)};
-    return {http::write_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true), 250'000};
+    const auto it = completion_times_.find(id);
+    if (it == completion_times_.end()) return {http::write_response(500, {}, "", true)};
+    if (part != "0") return {page_response(std::stoul(part))};
+    const TimeUs remaining = it->second - received.received_at;
+    if (remaining <= kLongPollUs) return {page_response(0), std::max<TimeUs>(remaining, 0)};
+    return {http::write_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true), kLongPollUs};
   }
 
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream) {
@@ -131,36 +136,43 @@
       const std::optional<std::string> bytes = co_await stream->read(4096);
       if (!bytes || bytes->empty()) co_return;
       for (auto state = reader.feed(*bytes); state != http::ReadState::kMore; state = reader.feed({})) {
-        EXPECT_EQ(state, http::ReadState::kDone) << "a node was sent what can't be read: " << reader.error();
+        EXPECT_EQ(state, http::ReadState::kDone)
+            << "an engine received a malformed request: " << reader.error();
         if (state == http::ReadState::kBad) co_return;
-        Seen s{world_.now(), number, reader.take()};
-        seen.push_back(s);
-        std::optional<NodeReply> reply = script ? script(s) : std::nullopt;
-        if (!reply) reply = usual(s);
-        if (reply->unread) seen.pop_back();
-        if (reply->silent) continue;
-        if (reply->after > 0) co_await pause(*actor_, reply->after);
-        if (!reply->bytes.empty()) co_await rpc::write_all(*stream, reply->bytes);
-        if (!reply->then.empty()) {
-          co_await pause(*actor_, 2 * kMs);
-          co_await rpc::write_all(*stream, reply->then);
-        }
-        if (reply->breaks) {
-          stream->close();
-          co_return;
-        }
+        ReceivedRequest received{world_.now(), number, reader.take()};
+        const bool stays_open = co_await respond(*stream, std::move(received));
+        if (!stays_open) co_return;
       }
     }
   }
 
+  // False once the connection has been closed.
+  rpc::Awaitable<bool> respond(rpc::ByteStream& stream, ReceivedRequest received) {
+    received_requests.push_back(received);
+    std::optional<ScriptedResponse> response = script ? script(received) : std::nullopt;
+    if (!response) response = protocol_response(received);
+    if (response->is_unread) received_requests.pop_back();
+    if (response->is_withheld) co_return true;
+    if (response->delay_us > 0) co_await pause(*actor_, response->delay_us);
+    if (!response->bytes.empty()) co_await rpc::write_all(stream, response->bytes);
+    if (!response->trailing_bytes.empty()) {
+      co_await pause(*actor_, 2 * kMs);
+      co_await rpc::write_all(stream, response->trailing_bytes);
+    }
+    if (response->closes_connection) stream.close();
+    co_return !response->closes_connection;
+  }
+
+  static constexpr TimeUs kLongPollUs = 250'000;
+
   sim::World& world_;
   const std::shared_ptr<sim::Actor> actor_;
   const std::string address_;
-  std::map<std::string, TimeUs> ends_;
+  std::map<std::string, TimeUs> completion_times_;  // by ticket
   int connections_ = 0;
 };
 
-// Counts records by event.
+/// Counts log records by event.
 class CountingLog : public Log {
  public:
   void write(LogLevel, std::string_view event, LogFields) override { ++counts_[std::string(event)]; }
@@ -174,101 +186,84 @@
   std::map<std::string, size_t> counts_;
 };
 
-class PlatformBench {
+/// One gateway of the platform with its scripted engines and clients.
+class PlatformFixture {
  public:
-  explicit PlatformBench(size_t client_connections = 20, size_t node_connections = 40) {
+  explicit PlatformFixture(size_t max_client_connections = 20, size_t max_engine_connections = 40) {
     settings_.max_attempts = 6;
     options_.classes = {"lookup", "report"};
     options_.tenants = {"north", "south"};
     for (const ClassSettings& cls : settings_.classes)
       options_.max_timeout_us.push_back(cls.request_timeout_us);
-    options_.max_connections = client_connections;
-    platform::EngineClientOptions to_nodes;
-    to_nodes.budget.engines = node_connections;
-    to_nodes.classes = options_.classes;
-    nodes_ = std::make_unique<platform::EngineClient>(to_nodes, net_, *actor_, directory_);
-    dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(settings_, 7, dispatch::DispatcherLimits{},
-                                                                *actor_, *nodes_, lists_, log_);
-    nodes_->set_dispatcher(dispatcher_.get());
-    front_ = std::make_unique<platform::HttpServer>(options_, *dispatcher_, net_, *actor_);
-    streams_.listen("gateway", actor_, [this](auto stream) { return front_->serve(std::move(stream)); });
+    options_.max_connections = max_client_connections;
+    platform::EngineClientOptions engine_options;
+    engine_options.budget.engines = max_engine_connections;
+    engine_options.classes = options_.classes;
+    engine_client_ =
+        std::make_unique<platform::EngineClient>(engine_options, dialer_, *actor_, endpoint_registry_);
+    dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
+        settings_, 7, dispatch::DispatcherLimits{}, *actor_, *engine_client_, endpoint_source_, log_);
+    engine_client_->set_dispatcher(dispatcher_.get());
+    http_server_ = std::make_unique<platform::HttpServer>(options_, *dispatcher_, dialer_, *actor_);
+    streams_.listen("gateway", actor_,
+                    [this](auto stream) { return http_server_->serve(std::move(stream)); });
     dispatcher_->start();
   }
-  ~PlatformBench() {
-    front_.reset();
-    nodes_.reset();
+  ~PlatformFixture() {
+    http_server_.reset();
+    engine_client_.reset();
     dispatcher_.reset();
-    while (world_.step()) continue;  // whoever still waits hears of its end
+    while (world_.step()) continue;  // coroutines that still wait learn that their streams are closed
   }
 
-  ScriptedNode& add_node() {
-    const std::string address = "10.0.0." + std::to_string(scripted_.size() + 1) + ":10080";
-    scripted_.push_back(std::make_unique<ScriptedNode>(world_, streams_, address));
-    return *scripted_.back();
+  ScriptedEngine& add_engine() {
+    const std::string address = "10.0.0." + std::to_string(engines_.size() + 1) + ":10080";
+    engines_.push_back(std::make_unique<ScriptedEngine>(world_, streams_, address));
+    return *engines_.back();
   }
-  // Tells the gateway of all nodes, in the states given; those without one are ready.
-  void tell(const std::map<std::string, EndpointState>& states = {}) {
+  /// Gives the gateway an endpoint list of all engines. Those without a state in `states` are ready.
+  void publish_endpoints(const std::map<std::string, EndpointState>& states = {}) {
     std::vector<config::EngineConfig> list;
-    for (const auto& node : scripted_) {
+    for (const auto& engine : engines_) {
       config::EngineConfig entry;
-      entry.name = entry.address = node->address();
+      entry.address = engine->address();
+      entry.name = entry.address;
       if (const auto it = states.find(entry.address); it != states.end()) entry.state = it->second;
       list.push_back(entry);
     }
-    directory_.replace(list);
-    nodes_->on_endpoints_changed();
-    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
+    endpoint_registry_.replace(list);
+    engine_client_->on_endpoints_changed();
+    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, endpoint_registry_.endpoints());
   }
-  EngineId id_of(const ScriptedNode& node) const {
-    for (const Endpoint& e : directory_.endpoints())
-      if (directory_.address(e.engine) == node.address()) return e.engine;
+  EngineId engine_id(const ScriptedEngine& engine) const {
+    for (const Endpoint& endpoint : endpoint_registry_.endpoints())
+      if (endpoint_registry_.address(endpoint.engine) == engine.address()) return endpoint.engine;
     return 0;
   }
 
-  static std::string statement(const std::string& id,
-                               const std::string& body = "SELECT 1 FROM sales_17.orders",
-                               const std::string& cls = "lookup", const std::string& timeout = "2000",
-                               const http::Fields& further = {}) {
-    http::Fields fields = {{"X-Request-Id", id}, {"X-Timeout-Ms", timeout}};
-    fields.insert(fields.end(), further.begin(), further.end());
-    return http::write_request("POST", "/v1/" + cls, "service.internal", fields, body);
+  /// The bytes of a client's request.
+  static std::string make_query(const std::string& id,
+                                const std::string& statement = "SELECT 1 FROM sales_17.orders",
+                                const std::string& class_name = "lookup",
+                                const std::string& timeout_ms = "2000",
+                                const http::Fields& more_fields = {}) {
+    http::Fields fields = {{"X-Request-Id", id}, {"X-Timeout-Ms", timeout_ms}};
+    fields.insert(fields.end(), more_fields.begin(), more_fields.end());
+    return http::write_request("POST", "/v1/" + class_name, "service.internal", fields, statement);
   }
 
-  // Sends the bytes on a connection of its own and reads so many answers, of which the last counts; status 0
-  // where the connection ended before they were whole, -1 where neither came within the time.
-  struct Answer {
-    int status = -1;
+  struct ClientResponse {
+    int status = -1;  // 0: the connection ended first; -1: nothing came in time
     http::Fields fields;
     std::string body;
-    TimeUs took_us = 0;
+    TimeUs elapsed_us = 0;
   };
-  rpc::Awaitable<void> ask(std::string bytes, std::shared_ptr<Answer> out, TimeUs patience, int answers) {
-    const TimeUs from = world_.now();
-    const auto stream = co_await streams_.connect(client_, "gateway", 1'000'000);
-    if (!stream) co_return;
-    client_->call_after(patience, [weak = std::weak_ptr<rpc::ByteStream>(stream)] {
-      if (const auto s = weak.lock()) s->close();
-    });
-    const bool sent = co_await rpc::write_all(*stream, std::move(bytes));
-    http::ResponseReader reader{http::ReadLimits{}};
-    for (auto state = http::ReadState::kMore; sent && state == http::ReadState::kMore;) {
-      const std::optional<std::string> piece = co_await stream->read(4096);
-      if (!piece || piece->empty()) break;
-      state = reader.feed(*piece);
-      while (state == http::ReadState::kDone) {
-        http::Response response = reader.take();
-        *out = {response.status, std::move(response.fields), std::move(response.body), world_.now() - from};
-        if (--answers == 0) co_return;
-        out->status = -1;
-        state = reader.feed({});
-      }
-    }
-    out->took_us = world_.now() - from;
-    if (out->took_us < patience) out->status = 0;
-  }
-  std::shared_ptr<Answer> start(std::string bytes, TimeUs patience = 20'000'000, int answers = 1) {
-    const auto out = std::make_shared<Answer>();
-    boost::asio::co_spawn(world_.executor(), ask(std::move(bytes), out, patience, answers),
+  /// Sends the bytes on a connection of their own and reads `response_count` responses, of which the last one
+  /// is returned. The client disconnects after `timeout_us`.
+  std::shared_ptr<ClientResponse> send(std::string bytes, TimeUs timeout_us = 20'000'000,
+                                       int response_count = 1) {
+    const auto out = std::make_shared<ClientResponse>();
+    boost::asio::co_spawn(world_.executor(), exchange(std::move(bytes), out, timeout_us, response_count),
                           boost::asio::detached);
     return out;
   }
@@ -279,32 +274,59 @@
 
   sim::World& world() { return world_; }
   sim::Streams& streams() { return streams_; }
-  platform::EngineClient& nodes() { return *nodes_; }
-  platform::HttpServer& front() { return *front_; }
+  platform::EngineClient& engine_client() { return *engine_client_; }
+  platform::HttpServer& http_server() { return *http_server_; }
   dispatch::RequestDispatcher& dispatcher() { return *dispatcher_; }
   const CountingLog& log() const { return log_; }
 
  private:
-  struct NoLists : dispatch::EndpointSource {
+  struct StaticEndpointSource : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
   };
 
+  rpc::Awaitable<void> exchange(std::string bytes, std::shared_ptr<ClientResponse> out, TimeUs timeout_us,
+                                int response_count) {
+    const TimeUs started_at = world_.now();
+    const auto stream = co_await streams_.connect(client_, "gateway", 1'000'000);
+    if (!stream) co_return;
+    client_->call_after(timeout_us, [weak = std::weak_ptr<rpc::ByteStream>(stream)] {
+      if (const auto s = weak.lock()) s->close();
+    });
+    const bool sent = co_await rpc::write_all(*stream, std::move(bytes));
+    http::ResponseReader reader{http::ReadLimits{}};
+    for (auto state = http::ReadState::kMore; sent && state == http::ReadState::kMore;) {
+      const std::optional<std::string> piece = co_await stream->read(4096);
+      if (!piece || piece->empty()) break;
+      state = reader.feed(*piece);
+      while (state == http::ReadState::kDone) {
+        http::Response response = reader.take();
+        *out = {response.status, std::move(response.fields), std::move(response.body),
+                world_.now() - started_at};
+        if (--response_count == 0) co_return;
+        out->status = -1;
+        state = reader.feed({});
+      }
+    }
+    out->elapsed_us = world_.now() - started_at;
+    if (out->elapsed_us < timeout_us) out->status = 0;
+  }
+
   sim::Account account_;
   sim::World world_{7, account_};
   sim::Streams streams_{world_, {}};
   std::shared_ptr<sim::Actor> actor_ = sim::Actor::make(world_, "gateway");
   std::shared_ptr<sim::Actor> client_ = sim::Actor::make(world_, "client");
-  SimDialer net_{world_, streams_, actor_};
+  SimulatedDialer dialer_{world_, streams_, actor_};
   CountingLog log_;
-  NoLists lists_;
+  StaticEndpointSource endpoint_source_;
   Settings settings_ = plain_settings();
   platform::HttpServerOptions options_;
-  membership::EndpointRegistry directory_;
-  std::unique_ptr<platform::EngineClient> nodes_;
+  membership::EndpointRegistry endpoint_registry_;
+  std::unique_ptr<platform::EngineClient> engine_client_;
   std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
-  std::unique_ptr<platform::HttpServer> front_;
-  std::vector<std::unique_ptr<ScriptedNode>> scripted_;
+  std::unique_ptr<platform::HttpServer> http_server_;
+  std::vector<std::unique_ptr<ScriptedEngine>> engines_;
 };
 
 }  // namespace sablelink::test
