--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -96,7 +96,7 @@
   return out;
 }
 
-long long whole_number(std::string_view text, long long most) {
+long long parse_decimal(std::string_view text, long long most) {
   if (text.empty() || text.size() > 18) return -1;
   long long value = 0;
   for (const char c : text) {
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -35,6 +35,6 @@
 std::string write_response(int status, const Fields& fields, std::string_view body, bool keep_alive);
 
 // A number of decimal digits alone, at most `most`; -1 for anything else.
-long long whole_number(std::string_view text, long long most);
+long long parse_decimal(std::string_view text, long long most);
 
 }  // namespace sablelink::http
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -38,16 +38,16 @@
 
 }  // namespace
 
-ReadState Reader::bad(int status, const char* why) {
+ParseStatus Reader::bad(int status, const char* why) {
   error_status_ = status;
   error_ = why;
   buffer_.clear();
   buffer_.shrink_to_fit();
   at_ = scanned_ = 0;
-  return state_ = ReadState::kBad;
+  return state_ = ParseStatus::kMalformed;
 }
 
-ReadState Reader::done() { return state_ = ReadState::kDone; }
+ParseStatus Reader::done() { return state_ = ParseStatus::kComplete; }
 
 void Reader::start_over() {
   buffer_.erase(0, at_);
@@ -56,16 +56,16 @@
   request_ = {};
   response_ = {};
   stage_ = Stage::kFirstLine;
-  state_ = ReadState::kMore;
+  state_ = ParseStatus::kNeedMore;
   interim_ = 0;
   begun_ = false;
 }
 
-ReadState Reader::feed(std::string_view bytes) {
-  if (state_ == ReadState::kBad) return state_;
+ParseStatus Reader::feed(std::string_view bytes) {
+  if (state_ == ParseStatus::kMalformed) return state_;
   buffer_ += bytes;
-  if (state_ == ReadState::kDone) return state_;
-  while (state_ == ReadState::kMore && step() == ReadState::kDone) {
+  if (state_ == ParseStatus::kComplete) return state_;
+  while (state_ == ParseStatus::kNeedMore && step() == ParseStatus::kComplete) {
   }
   // What is read needn't stay, but moving it for every piece would cost the square of a body's length.
   if (at_ > 16 << 10) {
@@ -77,10 +77,10 @@
 }
 
 // One step further. kDone: go on; kMore: not enough has come.
-ReadState Reader::step() {
+ParseStatus Reader::step() {
   if (!begun_) {
     begun_ = true;
-    head_left_ = limits_.head_bytes;
+    head_left_ = limits_.max_header_bytes;
   }
   std::string_view text;
   const std::string_view rest = std::string_view(buffer_).substr(at_);
@@ -88,7 +88,7 @@
     case Stage::kFirstLine:
     case Stage::kFields:
     case Stage::kTrailers: {
-      if (line(text) != ReadState::kDone) return state_;
+      if (line(text) != ParseStatus::kComplete) return state_;
       if (stage_ == Stage::kFirstLine) return first_line(text);
       if (!text.empty()) return field(text);
       if (stage_ == Stage::kFields) return head_over();
@@ -101,48 +101,48 @@
       at_ += n;
       scanned_ = at_;
       left_ -= n;
-      if (left_ > 0) return ReadState::kMore;
+      if (left_ > 0) return ParseStatus::kNeedMore;
       if (stage_ == Stage::kBody) return done();
       stage_ = Stage::kChunkEnd;
-      return ReadState::kDone;
+      return ParseStatus::kComplete;
     }
     case Stage::kChunkEnd:
-      if (rest.size() < 2) return ReadState::kMore;
+      if (rest.size() < 2) return ParseStatus::kNeedMore;
       if (!rest.starts_with("\r\n")) return bad(400, "a chunk is longer than told");
       at_ += 2;
       scanned_ = at_;
       stage_ = Stage::kChunkSize;
-      return ReadState::kDone;
+      return ParseStatus::kComplete;
     case Stage::kChunkSize: {
       head_left_ = kChunkLineBytes;
-      if (line(text) != ReadState::kDone) return state_;
+      if (line(text) != ParseStatus::kComplete) return state_;
       return chunk_size(text);
     }
     case Stage::kUntilClose:
-      if (body().size() + rest.size() > limits_.body_bytes) return bad(413, "the body is too long");
+      if (body().size() + rest.size() > limits_.max_body_bytes) return bad(413, "the body is too long");
       body() += rest;
       at_ = scanned_ = buffer_.size();
-      return ReadState::kMore;
+      return ParseStatus::kNeedMore;
   }
   return state_;
 }
 
-ReadState Reader::line(std::string_view& out) {
+ParseStatus Reader::line(std::string_view& out) {
   const size_t end = buffer_.find('\n', std::max(at_, scanned_));
   const size_t length = (end == std::string::npos ? buffer_.size() : end + 1) - at_;
   if (length > head_left_) return bad(requests_ ? 431 : 400, "the head is too long");
   if (end == std::string::npos) {
     scanned_ = buffer_.size();
-    return ReadState::kMore;
+    return ParseStatus::kNeedMore;
   }
   if (length < 2 || buffer_[end - 1] != '\r') return bad(400, "a line doesn't end in CRLF");
   out = std::string_view(buffer_).substr(at_, length - 2);
   at_ = scanned_ = end + 1;
   head_left_ -= length;
-  return ReadState::kDone;
+  return ParseStatus::kComplete;
 }
 
-ReadState Reader::first_line(std::string_view text) {
+ParseStatus Reader::first_line(std::string_view text) {
   if (requests_) {
     const size_t a = text.find(' '), b = text.rfind(' ');
     if (a == std::string_view::npos || a == b) return bad(400, "the first line is no request");
@@ -161,36 +161,37 @@
     if (text.size() < 12 || !(text.starts_with("HTTP/1.1 ") || text.starts_with("HTTP/1.0 ")) ||
         (text.size() > 12 && text[12] != ' '))
       return bad(400, "the first line is no answer");
-    const long long status = whole_number(text.substr(9, 3), 999);
+    const long long status = parse_decimal(text.substr(9, 3), 999);
     if (status < 100 || status > 599) return bad(400, "the first line is no answer");
     response_.status = static_cast<int>(status);
     old_version_ = text.starts_with("HTTP/1.0");
   }
   stage_ = Stage::kFields;
-  return ReadState::kDone;
+  return ParseStatus::kComplete;
 }
 
-ReadState Reader::field(std::string_view text) {
+ParseStatus Reader::field(std::string_view text) {
   const size_t colon = text.find(':');
   if (colon == std::string_view::npos || !is_token(text.substr(0, colon)))
     return bad(400, "a field can't be read");
   const std::string_view value = trimmed(text.substr(colon + 1));
   for (const unsigned char c : value)
     if ((c < 0x20 && c != '\t') || c == 0x7f) return bad(400, "a field's value can't be read");
-  if (stage_ == Stage::kTrailers) return ReadState::kDone;  // nothing of ours stands in trailers
-  if (fields().size() >= limits_.fields) return bad(431, "too many fields");
+  if (stage_ == Stage::kTrailers) return ParseStatus::kComplete;  // nothing of ours stands in trailers
+  if (fields().size() >= limits_.max_fields) return bad(431, "too many fields");
   fields().emplace_back(lowered(text.substr(0, colon)), value);
-  return ReadState::kDone;
+  return ParseStatus::kComplete;
 }
 
-ReadState Reader::head_over() {
+ParseStatus Reader::head_over() {
   const Fields& f = fields();
   if (!requests_ && response_.status < 200) {
-    if (response_.status == 101 || ++interim_ > limits_.interim) return bad(400, "too many interim answers");
+    if (response_.status == 101 || ++interim_ > limits_.max_interim_responses)
+      return bad(400, "too many interim answers");
     response_ = {};
-    head_left_ = limits_.head_bytes;
+    head_left_ = limits_.max_header_bytes;
     stage_ = Stage::kFirstLine;
-    return ReadState::kDone;
+    return ParseStatus::kComplete;
   }
   const std::string_view connection = find(f, "connection");
   (requests_ ? request_.keep_alive : response_.keep_alive) = !old_version_ && !names(connection, "close");
@@ -203,26 +204,26 @@
     if (count(f, "transfer-encoding") > 1 || lowered(coding) != "chunked")
       return bad(501, "a transfer coding other than chunked");
     stage_ = Stage::kChunkSize;
-    return ReadState::kDone;
+    return ParseStatus::kComplete;
   }
   if (!requests_ && (response_.status == 204 || response_.status == 304)) return done();
   if (sized) {
     if (count(f, "content-length") > 1) return bad(400, "more than one Content-Length");
     if (length.empty() || length.find_first_not_of("0123456789") != std::string_view::npos)
       return bad(400, "Content-Length is no length");
-    const long long bytes = whole_number(length, static_cast<long long>(limits_.body_bytes));
+    const long long bytes = parse_decimal(length, static_cast<long long>(limits_.max_body_bytes));
     if (bytes < 0) return bad(413, "the body is too long");
     left_ = static_cast<size_t>(bytes);
     stage_ = Stage::kBody;
-    return ReadState::kDone;
+    return ParseStatus::kComplete;
   }
   if (requests_) return done();
   stage_ = Stage::kUntilClose;
   response_.keep_alive = false;
-  return ReadState::kDone;
+  return ParseStatus::kComplete;
 }
 
-ReadState Reader::chunk_size(std::string_view text) {
+ParseStatus Reader::chunk_size(std::string_view text) {
   text = trimmed(text.substr(0, text.find(';')));
   if (text.empty() || text.size() > 8) return bad(400, "a chunk's length can't be read");
   size_t size = 0;
@@ -234,15 +235,15 @@
     if (digit < 0) return bad(400, "a chunk's length can't be read");
     size = size * 16 + static_cast<size_t>(digit);
   }
-  if (size > limits_.body_bytes - body().size()) return bad(413, "the body is too long");
+  if (size > limits_.max_body_bytes - body().size()) return bad(413, "the body is too long");
   left_ = size;
   stage_ = size == 0 ? Stage::kTrailers : Stage::kChunkData;
-  head_left_ = limits_.head_bytes;
-  return ReadState::kDone;
+  head_left_ = limits_.max_header_bytes;
+  return ParseStatus::kComplete;
 }
 
-ReadState Reader::finish() {
-  if (state_ != ReadState::kMore) return state_;
+ParseStatus Reader::finish() {
+  if (state_ != ParseStatus::kNeedMore) return state_;
   if (stage_ == Stage::kUntilClose) return done();
   return bad(400, "the connection ended within an answer");
 }
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -132,10 +132,10 @@
   return n && *n >= 0 && *n < 65536 ? static_cast<int>(*n) : 0;
 }
 
-ChangeEvent read_event(const json::value& v, const SettingNames& names) {
+WatchEvent read_event(const json::value& v, const SettingNames& names) {
   if (!v.is_object()) throw ConfigError("an event is no object");
   const json::object& in = v.get_object();
-  ChangeEvent event;
+  WatchEvent event;
   event.sequence_number = static_cast<uint64_t>(number_at(in, "seq", 0, 9e15));
   const json::value* fleet = in.if_contains("fleet");
   if (fleet == nullptr) return event;
@@ -149,24 +149,24 @@
   for (const json::value& item : hosts->get_array()) {
     if (!item.is_object()) throw ConfigError("a host is no object");
     const json::object& h = item.get_object();
-    ChangeEvent::Node node;
-    node.node.name = string_at(h, "host");
+    WatchEvent::EndpointChange node;
+    node.endpoint.name = string_at(h, "host");
     const std::string health = string_at(h, "health");
     if (health == "gone")
-      node.gone = true;
+      node.is_removed = true;
     else if (health != "ready" && health != "draining")
       throw ConfigError("health '" + health + "' is unknown");
-    node.node.state = health == "ready"      ? EndpointState::kReady
-                      : health == "draining" ? EndpointState::kDraining
-                                             : EndpointState::kRemoved;
-    if (h.contains("dial")) node.node.address = string_at(h, "dial");
-    node.node.zone = index_of(names.zones, h.if_contains("site"));
-    node.node.engine_type = index_of(names.engine_types, h.if_contains("class"));
-    node.node.cell = static_cast<int>(number_or(h, "block", 0, 65535, 0));
-    node.node.size = number_or(h, "share", 0, 1e9, 1);
-    node.node.started_at = static_cast<TimeUs>(number_or(h, "born_ms", 0, kMostMs, 0) * 1000);
-    if (!node.gone && node.node.address.empty()) throw ConfigError("a host has no dial");
-    event.nodes.push_back(std::move(node));
+    node.endpoint.state = health == "ready"      ? EndpointState::kReady
+                          : health == "draining" ? EndpointState::kDraining
+                                                 : EndpointState::kRemoved;
+    if (h.contains("dial")) node.endpoint.address = string_at(h, "dial");
+    node.endpoint.zone = index_of(names.zones, h.if_contains("site"));
+    node.endpoint.engine_type = index_of(names.engine_types, h.if_contains("class"));
+    node.endpoint.cell = static_cast<int>(number_or(h, "block", 0, 65535, 0));
+    node.endpoint.size = number_or(h, "share", 0, 1e9, 1);
+    node.endpoint.started_at = static_cast<TimeUs>(number_or(h, "born_ms", 0, kMostMs, 0) * 1000);
+    if (!node.is_removed && node.endpoint.address.empty()) throw ConfigError("a host has no dial");
+    event.endpoints.push_back(std::move(node));
   }
   return event;
 }
@@ -181,7 +181,7 @@
 
 }  // namespace
 
-ChangeEvent parse_event(std::string_view text, const SettingNames& names) {
+WatchEvent parse_watch_event(std::string_view text, const SettingNames& names) {
   return read_event(read_json(text), names);
 }
 
@@ -191,13 +191,13 @@
   const json::object& in = root.get_object();
   PlatformConfig config;
   config.name = string_at(in, "name");
-  config.listen = string_at(in, "listen");
+  config.listen_address = string_at(in, "listen");
   config.seed = read_seed(string_at(in, "seed"));
   const json::object& limits = object_at(in, "limits");
-  config.cores = number_or(limits, "cores", 0, 1e4, 1);
+  config.cpu_cores = number_or(limits, "cores", 0, 1e4, 1);
   config.memory_mb = static_cast<size_t>(number_or(limits, "memory_mb", 1, 1e9, 192));
-  config.sockets = static_cast<size_t>(number_at(limits, "sockets", 48, 1e7));
-  config.changelog = string_at(in, "changelog");
+  config.max_descriptors = static_cast<size_t>(number_at(limits, "sockets", 48, 1e7));
+  config.watch_address = string_at(in, "changelog");
   const json::object& settings = object_at(in, "settings");
   std::string lines;
   flatten(settings, "", lines);
@@ -210,15 +210,15 @@
   if (const json::value* l = settings.if_contains("Limits"); l != nullptr && l->is_object()) {
     config.dial_timeout_us =
         static_cast<TimeUs>(number_or(l->get_object(), "DialTimeoutUs", 1, 1e9, 250'000));
-    config.idle_close_us =
+    config.engine_idle_timeout_us =
         static_cast<TimeUs>(number_or(l->get_object(), "IdleCloseUs", 1, 1e12, 15'000'000));
   }
   const json::object& known = object_at(in, "known");
-  config.known_seq = static_cast<uint64_t>(number_at(known, "seq", 0, 9e15));
+  config.initial_sequence_number = static_cast<uint64_t>(number_at(known, "seq", 0, 9e15));
   if (const json::value* results = known.if_contains("results"); results != nullptr) {
     if (!results->is_array()) throw ConfigError("results is no list");
     for (const json::value& event : results->get_array())
-      config.known.push_back(read_event(event, config.names));
+      config.initial_events.push_back(read_event(event, config.names));
   }
   return config;
 }
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -19,15 +19,15 @@
 };
 
 // One change of the list of nodes, or an event about something else, without nodes.
-struct ChangeEvent {
+struct WatchEvent {
   uint64_t sequence_number = 0;
   bool is_complete = false;    // nodes is the whole list
   bool has_endpoints = false;  // false: the event is about something else
-  struct Node {
-    config::EngineConfig node;
-    bool gone = false;
+  struct EndpointChange {
+    config::EngineConfig endpoint;
+    bool is_removed = false;
   };
-  std::vector<Node> nodes;
+  std::vector<EndpointChange> endpoints;
 };
 
 // The names that the platform's messages use for what settings list by index.
@@ -36,23 +36,23 @@
 };
 
 struct PlatformConfig {
-  std::string name, listen;
+  std::string name, listen_address;
   uint64_t seed = 0;
-  double cores = 1;
-  size_t memory_mb = 192, sockets = 256;
-  std::string changelog;
-  uint64_t known_seq = 0;
-  std::vector<ChangeEvent> known;
+  double cpu_cores = 1;
+  size_t memory_mb = 192, max_descriptors = 256;
+  std::string watch_address;
+  uint64_t initial_sequence_number = 0;
+  std::vector<WatchEvent> initial_events;
   Settings settings;
   SettingNames names;
-  TimeUs dial_timeout_us = 250'000;   // a node without a connection by then can't be reached
-  TimeUs idle_close_us = 15'000'000;  // nodes close connections that are idle for this long
+  TimeUs dial_timeout_us = 250'000;            // a node without a connection by then can't be reached
+  TimeUs engine_idle_timeout_us = 15'000'000;  // nodes close connections that are idle for this long
 };
 
 // Throws ConfigError, which names what is wrong.
 PlatformConfig parse_config(std::string_view json);
 
 // An event as a line of the change log. Throws ConfigError.
-ChangeEvent parse_event(std::string_view json, const SettingNames& names);
+WatchEvent parse_watch_event(std::string_view json, const SettingNames& names);
 
 }  // namespace sablelink::platform
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -19,15 +19,15 @@
 
 }  // namespace
 
-ChangeLogReader::Line ChangeLogReader::read(std::string_view line, ChangeEvent& event) {
+ChangeLogReader::Line ChangeLogReader::read(std::string_view line, WatchEvent& event) {
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   if (line.empty()) return Line::kPassed;
   if (line.front() != '{') {
-    const long long last = http::whole_number(line, 9'000'000'000'000'000);
+    const long long last = http::parse_decimal(line, 9'000'000'000'000'000);
     return last < 0 || static_cast<uint64_t>(last) > last_ ? Line::kAskAgain : Line::kPassed;
   }
   try {
-    event = parse_event(line, names_);
+    event = parse_watch_event(line, names_);
   } catch (const ConfigError&) {
     return Line::kAskAgain;
   }
@@ -37,7 +37,7 @@
   return Line::kApply;
 }
 
-bool ChangeLogReader::feed(std::string_view bytes, const std::function<void(const ChangeEvent&)>& apply) {
+bool ChangeLogReader::feed(std::string_view bytes, const std::function<void(const WatchEvent&)>& apply) {
   while (!bytes.empty()) {
     const size_t end = bytes.find('\n');
     if (end == std::string_view::npos) {
@@ -47,7 +47,7 @@
     partial_ += bytes.substr(0, end);
     bytes.remove_prefix(end + 1);
     ++lines_;
-    ChangeEvent event;
+    WatchEvent event;
     const std::string line = std::exchange(partial_, {});
     switch (read(line, event)) {
       case Line::kApply:
@@ -62,9 +62,9 @@
   return true;
 }
 
-void ChangeLogReader::take(const std::vector<ChangeEvent>& events, uint64_t up_to,
-                           const std::function<void(const ChangeEvent&)>& apply) {
-  for (const ChangeEvent& event : events) {
+void ChangeLogReader::take(const std::vector<WatchEvent>& events, uint64_t up_to,
+                           const std::function<void(const WatchEvent&)>& apply) {
+  for (const WatchEvent& event : events) {
     if (event.sequence_number <= last_) continue;
     last_ = event.sequence_number;
     apply(event);
@@ -72,14 +72,14 @@
   last_ = std::max(last_, up_to);
 }
 
-bool EndpointSet::apply(const ChangeEvent& event) {
+bool EndpointSet::apply(const WatchEvent& event) {
   if (!event.has_endpoints) return false;
   if (event.is_complete) nodes_.clear();
-  for (const ChangeEvent::Node& told : event.nodes) {
-    if (told.gone)
-      nodes_.erase(told.node.name);
+  for (const WatchEvent::EndpointChange& told : event.endpoints) {
+    if (told.is_removed)
+      nodes_.erase(told.endpoint.name);
     else
-      nodes_[told.node.name] = told.node;
+      nodes_[told.endpoint.name] = told.endpoint;
   }
   return true;
 }
@@ -103,9 +103,9 @@
 }
 
 void EndpointWatcher::apply(
-    const std::function<void(const std::function<void(const ChangeEvent&)>&)>& source) {
+    const std::function<void(const std::function<void(const WatchEvent&)>&)>& source) {
   bool changed = false;
-  source([&](const ChangeEvent& event) { changed = list_.apply(event) || changed; });
+  source([&](const WatchEvent& event) { changed = list_.apply(event) || changed; });
   if (changed) told_(list_.nodes());
 }
 
@@ -115,8 +115,10 @@
 }
 
 void EndpointWatcher::switch_address(const PlatformConfig& config) {
-  apply([&](const auto& each) { sequence_->take(config.known, config.known_seq, each); });
-  spawn(config.changelog);
+  apply([&](const auto& each) {
+    sequence_->take(config.initial_events, config.initial_sequence_number, each);
+  });
+  spawn(config.watch_address);
 }
 
 void EndpointWatcher::spawn(const std::string& address) {
--- a/src/platform/endpoints/endpoint_watcher.h
+++ b/src/platform/endpoints/endpoint_watcher.h
@@ -31,13 +31,13 @@
   // A new connection begins: what came of a line before counts no more.
   void begin() { partial_.clear(); }
   // Takes bytes and calls apply for each event that is next. False: ask again on a new connection.
-  bool feed(std::string_view bytes, const std::function<void(const ChangeEvent&)>& apply);
+  bool feed(std::string_view bytes, const std::function<void(const WatchEvent&)>& apply);
   // Events of a configuration, which knows all up to the number.
-  void take(const std::vector<ChangeEvent>& events, uint64_t up_to,
-            const std::function<void(const ChangeEvent&)>& apply);
+  void take(const std::vector<WatchEvent>& events, uint64_t up_to,
+            const std::function<void(const WatchEvent&)>& apply);
 
  private:
-  Line read(std::string_view line, ChangeEvent& event);
+  Line read(std::string_view line, WatchEvent& event);
 
   uint64_t last_, lines_ = 0;
   const SettingNames names_;
@@ -48,7 +48,7 @@
 class EndpointSet {
  public:
   // True where the list has changed.
-  bool apply(const ChangeEvent& event);
+  bool apply(const WatchEvent& event);
   std::vector<config::EngineConfig> nodes() const;
 
  private:
@@ -72,7 +72,7 @@
 
  private:
   rpc::Awaitable<void> follow(uint64_t life, std::string address);
-  void apply(const std::function<void(const std::function<void(const ChangeEvent&)>&)>& source);
+  void apply(const std::function<void(const std::function<void(const WatchEvent&)>&)>& source);
   void spawn(const std::string& address);
 
   rpc::Dialer& net_;
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -29,9 +29,9 @@
 constexpr size_t kPiece = 8 << 10;
 constexpr int kMostPages = 64;
 
-http::ReadLimits read_limits() {
-  http::ReadLimits limits;
-  limits.body_bytes = kPageBytes;
+http::MessageLimits read_limits() {
+  http::MessageLimits limits;
+  limits.max_body_bytes = kMaxPageBytes;
   return limits;
 }
 
@@ -379,19 +379,20 @@
     if (*self == nullptr || connection->closed) co_return;
     const bool ended = !bytes || bytes->empty();
     if (!bytes) node->broken = true;
-    if (!connection->call || (ended && (!bytes || connection->reader.finish() != http::ReadState::kDone))) {
+    if (!connection->call ||
+        (ended && (!bytes || connection->reader.finish() != http::ParseStatus::kComplete))) {
       lost(node, connection);
       co_return;
     }
-    const http::ReadState state = ended ? http::ReadState::kDone : connection->reader.feed(*bytes);
-    if (state == http::ReadState::kBad) {
+    const http::ParseStatus state = ended ? http::ParseStatus::kComplete : connection->reader.feed(*bytes);
+    if (state == http::ParseStatus::kMalformed) {
       ++counts_.spoilt;
       lost(node, connection);
       co_return;
     }
-    if (state == http::ReadState::kMore) continue;
+    if (state == http::ParseStatus::kNeedMore) continue;
     const bool reusable =
-        !ended && !connection->reader.has_rest() && connection->reader.response().keep_alive;
+        !ended && !connection->reader.has_buffered_bytes() && connection->reader.response().keep_alive;
     const http::Response response = connection->reader.take();
     node->broken = false;
     Call call = std::move(*connection->call);
@@ -468,14 +469,14 @@
 bool EngineClient::news(const NodePtr& node, Call& call, const http::Response& response) {
   const QueryPtr query = call.query;
   const bool shed = http::find(response.fields, "x-shed") == "1";
-  if (const auto report = read_meter(http::find(response.fields, "x-meter")))
+  if (const auto report = parse_load_report(http::find(response.fields, "x-meter")))
     query->result.load_report = report;
   switch (response.status) {
     case 202: {
       query->breaks = 0;
       query->doubtful = false;
       const std::string_view remark = http::find(response.fields, "x-remark");
-      const std::optional<double> figure = read_figure(http::find(response.fields, "figure"));
+      const std::optional<double> figure = parse_non_negative(http::find(response.fields, "figure"));
       queue(node, {Kind::kNews, query, 0, 0});
       if (figure && remark == "done")
         dispatcher_->on_attempt_progress(query->key, ProgressKind::kProgress, *figure);
@@ -486,10 +487,10 @@
       return true;
     }
     case 200: {
-      const long long pages = http::whole_number(http::find(response.fields, "page-count"), kMostPages);
-      std::optional<std::string> rows = rows_of(response.body);
-      const std::optional<double> work = read_figure(http::find(response.fields, "work-ms"));
-      const std::optional<double> memory = read_figure(http::find(response.fields, "peak-mb"));
+      const long long pages = http::parse_decimal(http::find(response.fields, "page-count"), kMostPages);
+      std::optional<std::string> rows = page_to_json_rows(response.body);
+      const std::optional<double> work = parse_non_negative(http::find(response.fields, "work-ms"));
+      const std::optional<double> memory = parse_non_negative(http::find(response.fields, "peak-mb"));
       if (pages < 1 || !rows) return false;
       query->breaks = 0;
       if (work && *work > 0) query->result.work_us = *work * 1000;
@@ -526,8 +527,8 @@
     return true;
   }
   if (response.status != 200) return false;
-  if (http::whole_number(http::find(response.fields, "page-no"), kMostPages) != call.page) return false;
-  std::optional<std::string> rows = rows_of(response.body);
+  if (http::parse_decimal(http::find(response.fields, "page-no"), kMostPages) != call.page) return false;
+  std::optional<std::string> rows = page_to_json_rows(response.body);
   if (!rows) return false;
   query->breaks = 0;
   std::optional<std::string>& place = query->pages[call.page];
--- a/src/platform/engine_client/engine_client.h
+++ b/src/platform/engine_client/engine_client.h
@@ -94,7 +94,7 @@
     TimeUs free_at = 0;  // takes no call before
     TimeUs idle_since = 0;
     bool closed = false;
-    explicit Connection(const http::ReadLimits& limits) : reader(limits) {}
+    explicit Connection(const http::MessageLimits& limits) : reader(limits) {}
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
   struct Node {
--- a/src/platform/http_server.cpp
+++ b/src/platform/http_server.cpp
@@ -77,7 +77,7 @@
   call.id = http::find(request.fields, "x-request-id");
   if (!is_id(call.id)) return wrong(400, "X-Request-Id is not 16 hex digits");
   const TimeUs most = options.max_timeout_us[call.class_index] + kPatienceSlackUs;
-  const long long wait = http::whole_number(http::find(request.fields, "x-timeout-ms"), most / 1000);
+  const long long wait = http::parse_decimal(http::find(request.fields, "x-timeout-ms"), most / 1000);
   if (wait < kLeastPatienceUs / 1000) return wrong(400, "X-Timeout-Ms is no time that a client may wait");
   call.timeout_us = wait * 1000;
   if (http::count(request.fields, "x-retry") > 0) {
@@ -87,7 +87,7 @@
   // A field that ends in its unit holds a number of it, also where this gateway has no use for the figure.
   for (const auto& [name, value] : request.fields) {
     if (!name.ends_with("-ms") && !name.ends_with("-mb")) continue;
-    const std::optional<double> figure = read_figure(value);
+    const std::optional<double> figure = parse_non_negative(value);
     if (!figure || *figure > kMostFigure)
       return wrong(400, "a field of milliseconds or megabytes holds no number");
     if (name == "x-cost-ms") call.estimated_cost_us = 1000 * *figure;
@@ -104,7 +104,7 @@
   for (const std::string& name : {call.idempotency_key, call.ordering_key})
     if (!is_name(name)) return wrong(400, "a key is longer than 256 bytes or holds other than plain signs");
   if (request.body.empty()) return wrong(400, "there is no statement");
-  if (!is_text(request.body)) return wrong(400, "the statement is no text");
+  if (!is_plain_text(request.body)) return wrong(400, "the statement is no text");
   return call;
 }
 
@@ -119,9 +119,9 @@
         reader_(limits(front.options_)),
         since_(front.clock_.now()) {}
 
-  static http::ReadLimits limits(const HttpServerOptions& options) {
-    http::ReadLimits limits;
-    limits.body_bytes = options.max_statement_bytes;
+  static http::MessageLimits limits(const HttpServerOptions& options) {
+    http::MessageLimits limits;
+    limits.max_body_bytes = options.max_statement_bytes;
     return limits;
   }
 
@@ -132,7 +132,7 @@
   bool gone() const { return stage_ == Stage::kClosed || stream_->peer_left(); }
   // More is not read before an answer has made room.
   bool full() const {
-    return (stage_ == Stage::kOpen || stage_ == Stage::kWriting) && reader_.buffered() > kBacklog;
+    return (stage_ == Stage::kOpen || stage_ == Stage::kWriting) && reader_.buffered_bytes() > kBacklog;
   }
   rpc::Awaitable<void> room() { return room_.wait(); }
   void let_go() { room_.give(); }
@@ -142,14 +142,14 @@
     const TimeUs age = now - since_;
     if (stage_ == Stage::kLingering) return age > kPartedUs ? 4 : 0;
     if (stage_ != Stage::kReading) return 0;
-    if (!reader_.fresh()) return age > kStalledUs ? 1 : 0;
+    if (!reader_.is_at_message_start()) return age > kStalledUs ? 1 : 0;
     return calls_ > 0 ? 2 : age > kSettleUs ? 3 : 0;
   }
 
   void feed(std::string_view bytes) {
     switch (stage_) {
       case Stage::kReading:
-        if (reader_.fresh() && calls_ > 0) since_ = front_.clock_.now();
+        if (reader_.is_at_message_start() && calls_ > 0) since_ = front_.clock_.now();
         arrived(bytes.size());
         state_ = reader_.feed(bytes);
         advance();
@@ -169,9 +169,9 @@
   }
 
   void answer(int status, const http::Fields& fields, const std::string& body, bool keep_alive) {
-    ++front_.counts_.answers;
+    ++front_.counts_.responses;
     // What has come already is answered before the connection ends.
-    if (front_.draining_ && reader_.buffered() == 0 && !stream_->readable()) keep_alive = false;
+    if (front_.draining_ && reader_.buffered_bytes() == 0 && !stream_->readable()) keep_alive = false;
     keep_alive = keep_alive && !surplus_;
     stage_ = Stage::kWriting;
     since_ = front_.clock_.now();
@@ -255,10 +255,10 @@
   // Nothing is closed whose call, or the end of it, waits to be read.
   void check_reading(TimeUs age) {
     const bool closing = front_.closing_resting_;
-    if (reader_.fresh() && (calls_ > 0 || closing)) {
+    if (reader_.is_at_message_start() && (calls_ > 0 || closing)) {
       if (age >= (!closing ? kIdleUs : calls_ > 0 ? 0 : kSettleUs) && !stream_->readable()) half_close();
     } else if (age > kCallUs && !stream_->readable()) {
-      ++front_.counts_.too_slow;
+      ++front_.counts_.request_timeouts;
       turn_away(408, "no whole call has come in time");
     }
   }
@@ -275,7 +275,7 @@
 
   // When the last byte of the call that was just taken came.
   TimeUs call_arrived() {
-    const size_t up_to = came_ - reader_.buffered();
+    const size_t up_to = came_ - reader_.buffered_bytes();
     while (arrivals_.size() > 1 && arrivals_.front().up_to < up_to) arrivals_.pop_front();
     return arrivals_.empty() ? front_.clock_.now() : arrivals_.front().at;
   }
@@ -283,20 +283,20 @@
   // Takes the next call, if it has come whole.
   void advance() {
     if (stage_ != Stage::kReading) return;
-    if (state_ == http::ReadState::kMore) {
+    if (state_ == http::ParseStatus::kNeedMore) {
       // All that has come is the beginning of one call, which counts from its last byte.
       while (arrivals_.size() > 1) arrivals_.pop_front();
       return;
     }
-    if (state_ == http::ReadState::kBad) {
-      ++front_.counts_.unreadable;
+    if (state_ == http::ParseStatus::kMalformed) {
+      ++front_.counts_.malformed_requests;
       turn_away(reader_.error_status(), reader_.error());
       return;
     }
     http::Request request = reader_.take();
-    state_ = http::ReadState::kMore;
+    state_ = http::ParseStatus::kNeedMore;
     ++calls_;
-    ++front_.counts_.calls;
+    ++front_.counts_.requests;
     keep_alive_ = request.keep_alive;
     if (request.target == "/healthz") {
       const bool get = request.method == "GET";
@@ -309,12 +309,12 @@
       call.error = "a request of this id is open";
     }
     if (call.status != 0) {
-      ++front_.counts_.wrong;
+      ++front_.counts_.invalid_requests;
       answer(call.status, {}, call.error, keep_alive_);
       return;
     }
     if (surplus_) {
-      ++front_.counts_.no_room;
+      ++front_.counts_.rejected_at_capacity;
       answer(503, {{"Content-Type", "application/json"}}, failure("Full"), false);
       return;
     }
@@ -347,7 +347,7 @@
   HttpServer& front_;
   const std::shared_ptr<rpc::ByteStream> stream_;
   http::RequestReader reader_;
-  http::ReadState state_ = http::ReadState::kMore;
+  http::ParseStatus state_ = http::ParseStatus::kNeedMore;
   Stage stage_ = Stage::kReading;
   TimeUs since_;  // of the stage; while reading, of the call's first byte
   uint64_t calls_ = 0;
@@ -447,7 +447,7 @@
       passed.push_back(victim);
       continue;
     }
-    ++counts_.evicted;
+    ++counts_.evicted_connections;
     victim->cut_off();
     connections_.remove(victim);
     return true;
@@ -457,10 +457,10 @@
 
 rpc::Awaitable<void> HttpServer::serve(std::shared_ptr<rpc::ByteStream> stream) {
   const std::shared_ptr<HttpServer*> self = self_;
-  ++counts_.connections;
+  ++counts_.accepted_connections;
   const bool room = make_room();
   if (connections_.size() >= options_.max_connections) {
-    ++counts_.no_room;
+    ++counts_.rejected_at_capacity;
     co_return;
   }
   const auto connection = std::make_shared<Connection>(*this, stream);
--- a/src/platform/http_server.h
+++ b/src/platform/http_server.h
@@ -29,10 +29,11 @@
 };
 
 struct HttpServerCounters {
-  uint64_t connections = 0, calls = 0, answers = 0;
-  uint64_t unreadable = 0, wrong = 0;  // calls that were turned away as such
-  uint64_t too_slow = 0, evicted = 0;  // connections closed: no whole call in time; for room
-  uint64_t no_room = 0;                // connections told that there is no room, or closed unread for it
+  uint64_t accepted_connections = 0, requests = 0, responses = 0;
+  uint64_t malformed_requests = 0, invalid_requests = 0;  // calls that were turned away as such
+  uint64_t request_timeouts = 0,
+           evicted_connections = 0;   // connections closed: no whole call in time; for room
+  uint64_t rejected_at_capacity = 0;  // connections told that there is no room, or closed unread for it
 };
 
 // What a client's call asks for. Pure, for tests.
@@ -65,7 +66,7 @@
   bool is_idle() const { return connections_.empty(); }
 
   const HttpServerCounters& counters() const { return counts_; }
-  size_t connections() const { return connections_.size(); }
+  size_t connection_count() const { return connections_.size(); }
 
  private:
   class Connection;
--- a/src/platform/pages.cpp
+++ b/src/platform/pages.cpp
@@ -8,7 +8,7 @@
 
 namespace sablelink::platform {
 
-bool is_text(std::string_view text) {
+bool is_plain_text(std::string_view text) {
   for (size_t i = 0; i < text.size();) {
     const auto c = static_cast<unsigned char>(text[i]);
     if (c < 0x80) {
@@ -31,8 +31,8 @@
   return true;
 }
 
-std::optional<std::string> rows_of(std::string_view page) {
-  if (page.size() > kPageBytes || !is_text(page)) return std::nullopt;
+std::optional<std::string> page_to_json_rows(std::string_view page) {
+  if (page.size() > kMaxPageBytes || !is_plain_text(page)) return std::nullopt;
   std::string out;
   out.reserve(page.size() + page.size() / 4);
   while (!page.empty()) {
@@ -42,9 +42,9 @@
     page.remove_prefix(end + 1);
     if (!out.empty()) out += ',';
     out += '[';
-    for (int column = 0; column < kColumns; ++column) {
+    for (int column = 0; column < kColumnCount; ++column) {
       const size_t tab = row.find('\t');
-      if ((column + 1 < kColumns) != (tab != std::string_view::npos)) return std::nullopt;
+      if ((column + 1 < kColumnCount) != (tab != std::string_view::npos)) return std::nullopt;
       out += column > 0 ? ",\"" : "\"";
       out += json_escaped(row.substr(0, tab));
       out += '"';
@@ -55,7 +55,7 @@
   return out;
 }
 
-std::optional<double> read_figure(std::string_view text) {
+std::optional<double> parse_non_negative(std::string_view text) {
   double value = 0;
   const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || stop != text.data() + text.size() || !std::isfinite(value) || value < 0)
@@ -63,7 +63,7 @@
   return value;
 }
 
-std::optional<LoadReport> read_meter(std::string_view text) {
+std::optional<LoadReport> parse_load_report(std::string_view text) {
   LoadReport report;
   bool any = false;
   while (!text.empty()) {
@@ -72,7 +72,7 @@
     text.remove_prefix(std::min(end + 1, text.size()));
     const size_t colon = item.find(':');
     if (colon == std::string_view::npos) continue;
-    if (const std::optional<double> value = read_figure(item.substr(colon + 1)))
+    if (const std::optional<double> value = parse_non_negative(item.substr(colon + 1)))
       any = set_load_report_value(report, item.substr(0, colon), *value) || any;
   }
   return any ? std::optional(report) : std::nullopt;
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -35,11 +35,11 @@
       loop_(system.wall, system.steady),
       net_(std::make_unique<rpc::TcpNet>(loop_)),
       lists_(std::make_unique<Lists>(*this)) {
-  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.sockets);
+  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.max_descriptors);
   platform::EngineClientOptions to_nodes;
   to_nodes.budget = budget;
   to_nodes.dial_timeout_us = config_.dial_timeout_us;
-  to_nodes.idle_close_us = config_.idle_close_us;
+  to_nodes.idle_close_us = config_.engine_idle_timeout_us;
   to_nodes.hedging_allowed = config_.settings.hedging_allowed;
   to_nodes.classes = config_.names.classes;
   nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
@@ -61,15 +61,15 @@
     dispatcher_->start();
     changes_->start(config_);
   });
-  port_ = net_->listen(config_.listen, [this](std::shared_ptr<rpc::ByteStream> stream) {
+  port_ = net_->listen(config_.listen_address, [this](std::shared_ptr<rpc::ByteStream> stream) {
     return front_->serve(std::move(stream));
   });
   log_->info("started", {{"name", config_.name},
-                         {"listen", config_.listen},
+                         {"listen", config_.listen_address},
                          {"port", std::to_string(port_)},
-                         {"sockets", std::to_string(config_.sockets)},
+                         {"sockets", std::to_string(config_.max_descriptors)},
                          {"memory_mb", std::to_string(config_.memory_mb)},
-                         {"cores", std::to_string(config_.cores)}});
+                         {"cores", std::to_string(config_.cpu_cores)}});
 }
 
 // Whoever still waits on the loop hears of the end before what it uses goes.
@@ -91,7 +91,7 @@
 }
 
 void PlatformService::reload(const platform::PlatformConfig& config) {
-  log_->info("reload", {{"changelog", config.changelog}});
+  log_->info("reload", {{"changelog", config.watch_address}});
   changes_->switch_address(config);
 }
 
@@ -124,9 +124,9 @@
                          {"refused", std::to_string(c.rejected)},
                          {"failed", std::to_string(c.failed)},
                          {"attempts", std::to_string(c.attempts)},
-                         {"connections", std::to_string(f.connections)},
-                         {"wrong", std::to_string(f.wrong + f.unreadable)},
-                         {"no_room", std::to_string(f.no_room)},
+                         {"connections", std::to_string(f.accepted_connections)},
+                         {"wrong", std::to_string(f.invalid_requests + f.malformed_requests)},
+                         {"no_room", std::to_string(f.rejected_at_capacity)},
                          {"dials", std::to_string(n.dials)},
                          {"calls", std::to_string(n.calls)},
                          {"broken", std::to_string(n.broken)},
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -204,19 +204,19 @@
 // Read whole and byte by byte, bytes are the same messages, up to the same fault.
 template <typename Reader, typename Text>
 std::string messages_of(const std::string& bytes, size_t step, Text text) {
-  http::ReadLimits limits;
-  limits.head_bytes = 512;
-  limits.body_bytes = 256;
+  http::MessageLimits limits;
+  limits.max_header_bytes = 512;
+  limits.max_body_bytes = 256;
   Reader reader(limits);
   std::string out;
   for (size_t at = 0; at < bytes.size(); at += step) {
     auto state = reader.feed(std::string_view(bytes).substr(at, step));
-    while (state == http::ReadState::kDone) {
+    while (state == http::ParseStatus::kComplete) {
       out += text(reader.take()) + "\n";
       state = reader.feed({});
     }
-    check(reader.buffered() <= bytes.size(), "more is held than came");
-    if (state == http::ReadState::kBad) return out + "bad " + std::to_string(reader.error_status());
+    check(reader.buffered_bytes() <= bytes.size(), "more is held than came");
+    if (state == http::ParseStatus::kMalformed) return out + "bad " + std::to_string(reader.error_status());
   }
   return out;
 }
@@ -253,12 +253,12 @@
 void change_log_target(const std::string& bytes) {
   std::string whole, pieces;
   platform::ChangeLogReader a(3, {}), b(3, {});
-  bool good = a.feed(
-      bytes, [&](const platform::ChangeEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
+  bool good =
+      a.feed(bytes, [&](const platform::WatchEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
   bool also = true;
   for (size_t i = 0; also && i < bytes.size(); ++i)
     also = b.feed(bytes.substr(i, 1),
-                  [&](const platform::ChangeEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
+                  [&](const platform::WatchEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
   check(good == also && whole == pieces && a.last() == b.last(), "events differ by their pieces");
 }
 
@@ -340,12 +340,12 @@
        {"a\t1\tx\nb\t2\t\xe2\x82\xac\n", "inflight:7;util:0.61", "SELECT 1 FROM a_1.b, \"c_2\".d -- x_3.y"},
        {"\t", "\n", ";", ":", "_", ".", "\"", "'", "1e400", "\xf0\x9f"},
        [](const std::string& text) {
-         if (const auto rows = platform::rows_of(text)) {
-           check(platform::is_text(*rows), "rows that are no text");
+         if (const auto rows = platform::page_to_json_rows(text)) {
+           check(platform::is_plain_text(*rows), "rows that are no text");
            check(std::count(text.begin(), text.end(), '\n') <= std::count(rows->begin(), rows->end(), '['),
                  "a row is lost");
          }
-         platform::read_meter(text);
+         platform::parse_load_report(text);
          check(sql::table_group(text) >= -1, "a group below none");
        }});
   all.push_back(
--- a/tests/http/http_test.cpp
+++ b/tests/http/http_test.cpp
@@ -15,17 +15,17 @@
     "X-Timeout-Ms:  1500 \r\nContent-Length: 8\r\n\r\nSELECT 1";
 
 struct Read {
-  ReadState state = ReadState::kMore;
+  ParseStatus state = ParseStatus::kNeedMore;
   Request request;
   int status = 0;
 };
 
-Read read_request(const std::string& bytes, size_t step, const ReadLimits& limits = {}) {
+Read read_request(const std::string& bytes, size_t step, const MessageLimits& limits = {}) {
   RequestReader reader(limits);
   Read out;
-  for (size_t at = 0; at < bytes.size() && out.state == ReadState::kMore; at += step)
+  for (size_t at = 0; at < bytes.size() && out.state == ParseStatus::kNeedMore; at += step)
     out.state = reader.feed(std::string_view(bytes).substr(at, step));
-  if (out.state == ReadState::kDone) out.request = reader.take();
+  if (out.state == ParseStatus::kComplete) out.request = reader.take();
   out.status = reader.error_status();
   return out;
 }
@@ -33,7 +33,7 @@
 TEST(Http, RequestsInPiecesOfAnySizeAreTheSame) {
   for (size_t step = 1; step <= kPost.size(); ++step) {
     const Read read = read_request(kPost, step);
-    ASSERT_EQ(read.state, ReadState::kDone) << step;
+    ASSERT_EQ(read.state, ParseStatus::kComplete) << step;
     EXPECT_EQ(read.request.method, "POST");
     EXPECT_EQ(read.request.target, "/v1/report");
     EXPECT_EQ(find(read.request.fields, "x-timeout-ms"), "1500");
@@ -48,21 +48,21 @@
       "v\r\n\r\n";
   for (size_t step = 1; step <= text.size(); ++step) {
     const Read read = read_request(text, step);
-    ASSERT_EQ(read.state, ReadState::kDone) << step;
+    ASSERT_EQ(read.state, ParseStatus::kComplete) << step;
     EXPECT_EQ(read.request.body, "SELECT 1");
   }
 }
 
 TEST(Http, TheNextMessageMayBeThereAlready) {
-  RequestReader reader{ReadLimits{}};
-  ASSERT_EQ(reader.feed(kPost + kPost.substr(0, 30)), ReadState::kDone);
-  EXPECT_TRUE(reader.has_rest());
+  RequestReader reader{MessageLimits{}};
+  ASSERT_EQ(reader.feed(kPost + kPost.substr(0, 30)), ParseStatus::kComplete);
+  EXPECT_TRUE(reader.has_buffered_bytes());
   reader.take();
-  ASSERT_EQ(reader.feed({}), ReadState::kMore);
-  ASSERT_EQ(reader.feed(kPost.substr(30)), ReadState::kDone);
-  EXPECT_FALSE(reader.has_rest());
+  ASSERT_EQ(reader.feed({}), ParseStatus::kNeedMore);
+  ASSERT_EQ(reader.feed(kPost.substr(30)), ParseStatus::kComplete);
+  EXPECT_FALSE(reader.has_buffered_bytes());
   EXPECT_EQ(reader.take().body, "SELECT 1");
-  EXPECT_TRUE(reader.fresh());
+  EXPECT_TRUE(reader.is_at_message_start());
 }
 
 TEST(Http, WhatCanBeReadInTwoWaysIsNotRead) {
@@ -102,7 +102,7 @@
   for (const auto& [bytes, status] : cases)
     for (const size_t step : {size_t{1}, size_t{7}, bytes.size()}) {
       const Read read = read_request(bytes, step);
-      EXPECT_EQ(read.state, ReadState::kBad) << bytes.substr(0, 80);
+      EXPECT_EQ(read.state, ParseStatus::kMalformed) << bytes.substr(0, 80);
       EXPECT_EQ(read.status, status) << bytes.substr(0, 80);
     }
   std::string many = "GET / HTTP/1.1\r\n";
@@ -112,31 +112,31 @@
 
 // A reader that kept what it has read would hold all of a body that never ends.
 TEST(Http, NothingGrowsPastItsLimit) {
-  ReadLimits limits;
-  limits.body_bytes = 1000;
+  MessageLimits limits;
+  limits.max_body_bytes = 1000;
   RequestReader reader(limits);
-  ReadState state = reader.feed("POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+  ParseStatus state = reader.feed("POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   size_t fed = 0;
-  while (state == ReadState::kMore && fed < 1 << 20) {
+  while (state == ParseStatus::kNeedMore && fed < 1 << 20) {
     state = reader.feed("5\r\nabcde\r\n");
     fed += 5;
   }
-  EXPECT_EQ(state, ReadState::kBad);
+  EXPECT_EQ(state, ParseStatus::kMalformed);
   EXPECT_LE(fed, 1005u);
-  EXPECT_EQ(reader.buffered(), 0u);
+  EXPECT_EQ(reader.buffered_bytes(), 0u);
   // Interim answers, too, come to an end.
   ResponseReader answers(limits);
   int interim = 0;
-  for (state = ReadState::kMore; state == ReadState::kMore && interim < 100; ++interim)
+  for (state = ParseStatus::kNeedMore; state == ParseStatus::kNeedMore && interim < 100; ++interim)
     state = answers.feed("HTTP/1.1 102 Processing\r\n\r\n");
-  EXPECT_EQ(state, ReadState::kBad);
+  EXPECT_EQ(state, ParseStatus::kMalformed);
   EXPECT_EQ(interim, 9);
 }
 
 TEST(Http, AnswersByLengthByChunksByEndAndAfterInterimOnes) {
   const auto read = [](const std::string& bytes, bool ends, size_t step) {
-    ResponseReader reader{ReadLimits{}};
-    ReadState state = ReadState::kMore;
+    ResponseReader reader{MessageLimits{}};
+    ParseStatus state = ParseStatus::kNeedMore;
     for (size_t at = 0; at < bytes.size(); at += step)
       state = reader.feed(std::string_view(bytes).substr(at, step));
     if (ends) state = reader.finish();
@@ -146,43 +146,45 @@
     const auto [a, sized] =
         read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 3\r\n\r\nabc",
              false, step);
-    ASSERT_EQ(a, ReadState::kDone);
+    ASSERT_EQ(a, ParseStatus::kComplete);
     EXPECT_EQ(sized.status, 200);
     EXPECT_EQ(find(sized.fields, "page-count"), "2");
     EXPECT_EQ(sized.body, "abc");
-    EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", false, step).first, ReadState::kDone);
+    EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", false, step).first, ParseStatus::kComplete);
     const auto [b, open] = read("HTTP/1.1 200 OK\r\n\r\nabc", true, step);
-    ASSERT_EQ(b, ReadState::kDone);
+    ASSERT_EQ(b, ParseStatus::kComplete);
     EXPECT_EQ(open.body, "abc");
     EXPECT_FALSE(open.keep_alive);
-    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", true, step).first, ReadState::kBad);
-    EXPECT_EQ(read("HTTP/1.1 2OO OK\r\n\r\n", false, step).first, ReadState::kBad);
-    EXPECT_EQ(read("HTTP/1.1 101 Switching\r\n\r\n", false, step).first, ReadState::kBad);
+    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", true, step).first,
+              ParseStatus::kMalformed);
+    EXPECT_EQ(read("HTTP/1.1 2OO OK\r\n\r\n", false, step).first, ParseStatus::kMalformed);
+    EXPECT_EQ(read("HTTP/1.1 101 Switching\r\n\r\n", false, step).first, ParseStatus::kMalformed);
     EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", false, step).first,
-              ReadState::kBad);
+              ParseStatus::kMalformed);
   }
 }
 
 TEST(Http, WhatIsWrittenIsReadBack) {
-  RequestReader requests{ReadLimits{}};
+  RequestReader requests{MessageLimits{}};
   ASSERT_EQ(requests.feed(write_request("POST", "/v2/q", "10.0.0.1:80", {{"X-Ticket", "ab"}}, "SELECT 1")),
-            ReadState::kDone);
+            ParseStatus::kComplete);
   const Request request = requests.take();
   EXPECT_EQ(find(request.fields, "host"), "10.0.0.1:80");
   EXPECT_EQ(find(request.fields, "x-ticket"), "ab");
   EXPECT_EQ(request.body, "SELECT 1");
-  ASSERT_EQ(requests.feed(write_request("DELETE", "/v2/q/ab", "h", {})), ReadState::kDone);
-  ResponseReader answers{ReadLimits{}};
-  ASSERT_EQ(answers.feed(write_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)), ReadState::kDone);
+  ASSERT_EQ(requests.feed(write_request("DELETE", "/v2/q/ab", "h", {})), ParseStatus::kComplete);
+  ResponseReader answers{MessageLimits{}};
+  ASSERT_EQ(answers.feed(write_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)),
+            ParseStatus::kComplete);
   EXPECT_FALSE(answers.response().keep_alive);
   EXPECT_EQ(answers.take().body, "{}");
 }
 
 TEST(Http, WholeNumbersAlone) {
-  EXPECT_EQ(whole_number("0", 10), 0);
-  EXPECT_EQ(whole_number("10", 10), 10);
+  EXPECT_EQ(parse_decimal("0", 10), 0);
+  EXPECT_EQ(parse_decimal("10", 10), 10);
   for (const char* wrong : {"", "11", "-1", "+1", "1.0", " 1", "1 ", "0x1", "1e1", "99999999999999999999"})
-    EXPECT_EQ(whole_number(wrong, 10), -1) << wrong;
+    EXPECT_EQ(parse_decimal(wrong, 10), -1) << wrong;
 }
 
 }  // namespace
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -14,7 +14,7 @@
 TEST(PlatformConfig, IsReadByParseSettings) {
   const platform::PlatformConfig c = platform::parse_config(kConfig);
   EXPECT_EQ(c.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(c.sockets, 256u);
+  EXPECT_EQ(c.max_descriptors, 256u);
   EXPECT_EQ(c.dial_timeout_us, 200'000);
   ASSERT_EQ(c.settings.classes.size(), 2u);
   EXPECT_EQ(c.settings.classes[1].threads, 4);
@@ -22,12 +22,12 @@
   EXPECT_EQ(c.settings.gateway_count, 3);
   EXPECT_TRUE(c.settings.cancellation_allowed);
   EXPECT_EQ(c.names.classes, (std::vector<std::string>{"lookup", "report"}));
-  ASSERT_EQ(c.known.size(), 1u);
-  const auto& nodes = c.known[0].nodes;
-  EXPECT_EQ(nodes[0].node.zone, 1);
-  EXPECT_EQ(nodes[0].node.engine_type, 1);
-  EXPECT_EQ(nodes[1].node.state, EndpointState::kDraining);
-  EXPECT_EQ(nodes[1].node.started_at, 1700000000123000);
+  ASSERT_EQ(c.initial_events.size(), 1u);
+  const auto& nodes = c.initial_events[0].endpoints;
+  EXPECT_EQ(nodes[0].endpoint.zone, 1);
+  EXPECT_EQ(nodes[0].endpoint.engine_type, 1);
+  EXPECT_EQ(nodes[1].endpoint.state, EndpointState::kDraining);
+  EXPECT_EQ(nodes[1].endpoint.started_at, 1700000000123000);
 }
 
 TEST(PlatformConfig, WhatIsWrongIsNamed) {
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -16,8 +16,8 @@
 namespace sablelink::test {
 namespace {
 
-using platform::ChangeEvent;
 using platform::ChangeLogReader;
+using platform::WatchEvent;
 
 TEST(PlatformChangeLog, EventsCountOnceAndInOrderFromAnyPieces) {
   const std::string text = R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-1","health":"gone"}]}})"
@@ -32,7 +32,7 @@
     bool good = true;
     for (size_t at = 0; at < text.size(); at += step)
       good = good && sequence.feed(std::string_view(text).substr(at, step),
-                                   [&](const ChangeEvent& e) { applied.push_back(e.sequence_number); });
+                                   [&](const WatchEvent& e) { applied.push_back(e.sequence_number); });
     EXPECT_TRUE(good);
     EXPECT_EQ(applied, (std::vector<uint64_t>{4, 5}));
     EXPECT_EQ(sequence.last(), 5u);
@@ -40,13 +40,13 @@
   // A gap, a number that is ahead, what can't be read, a line that never ends: ask again.
   for (const std::string wrong : {"{\"seq\":9}\n", "7\n", "{\"seq\":4\n", "x\n", "{\"seq\":\"4\"}\n"}) {
     ChangeLogReader sequence(3, {});
-    EXPECT_FALSE(sequence.feed(wrong, [](const ChangeEvent&) { FAIL(); })) << wrong;
+    EXPECT_FALSE(sequence.feed(wrong, [](const WatchEvent&) { FAIL(); })) << wrong;
     EXPECT_EQ(sequence.last(), 3u);
   }
   ChangeLogReader sequence(3, {});
   bool good = true;
   size_t fed = 0;
-  for (; good && fed < 100; ++fed) good = sequence.feed(std::string(1 << 20, 'x'), [](const ChangeEvent&) {});
+  for (; good && fed < 100; ++fed) good = sequence.feed(std::string(1 << 20, 'x'), [](const WatchEvent&) {});
   EXPECT_LT(fed, 20u);
 }
 
@@ -89,7 +89,7 @@
   trickles = false;
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(nodes.size(), 2u);
-  config.changelog = "10.2.0.2:8500";  // nobody is there yet
+  config.watch_address = "10.2.0.2:8500";  // nobody is there yet
   changes->switch_address(config);
   drained = true;
   world.run_until(world.now() + 2 * kSecond);
@@ -167,7 +167,7 @@
   EXPECT_GT(asked, before);
   EXPECT_EQ(nodes.size(), 5u);
   say(7);
-  config.changelog = "10.2.0.2:8500";
+  config.watch_address = "10.2.0.2:8500";
   changes.switch_address(config);
   world.run_until(world.now() + kSecond);
   EXPECT_GE(asked_new, 1);
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -51,7 +51,7 @@
   EXPECT_EQ(post->request.body, text);
   EXPECT_EQ(http::find(post->request.fields, "x-ticket"), make_request_id(1));
   EXPECT_EQ(http::find(post->request.fields, "x-queue"), "lookup");
-  EXPECT_LE(http::whole_number(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
+  EXPECT_LE(http::parse_decimal(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
   EXPECT_EQ(node.request_count("POST"), 1u);
   EXPECT_EQ(b.engine_client().active_attempts(), 0u);
   EXPECT_EQ(b.dispatcher().tracked_requests(), 0u);
@@ -511,7 +511,7 @@
   b.run_for(2 * kSecond);
   EXPECT_EQ(node.request_count("DELETE"), 1u);
   EXPECT_EQ(b.dispatcher().tracked_requests(), 0u);
-  EXPECT_EQ(b.http_server().connections(), 0u);
+  EXPECT_EQ(b.http_server().connection_count(), 0u);
 }
 
 }  // namespace
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -257,7 +257,7 @@
     other.receive();
     return other.ended;
   }));
-  EXPECT_EQ(front_->counters().evicted, 1u);
+  EXPECT_EQ(front_->counters().evicted_connections, 1u);
 }
 
 // A burst of new connections, none of which has sent its request when the next one is accepted.
@@ -265,7 +265,7 @@
   RawSocket at_rest = resting();
   RawSocket first = RawSocket::connect(port_);
   RawSocket second = RawSocket::connect(port_);
-  EXPECT_TRUE(until([&] { return front_->counters().connections == 3; }));
+  EXPECT_TRUE(until([&] { return front_->counters().accepted_connections == 3; }));
   first.send(health());
   second.send(health());
   EXPECT_TRUE(answered(first, "200"));
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -69,7 +69,7 @@
     b.run_for(5 * kSecond);
     EXPECT_EQ(answer->status, 408) << half.size();
     EXPECT_LT(answer->elapsed_us, 3 * kSecond);
-    EXPECT_EQ(b.http_server().connections(), 0u);
+    EXPECT_EQ(b.http_server().connection_count(), 0u);
   }
 }
 
@@ -101,7 +101,7 @@
     silent.push_back(b.send(""));
     b.run_for(2 * kMs);
   }
-  EXPECT_LE(b.http_server().connections(), 10u);
+  EXPECT_LE(b.http_server().connection_count(), 10u);
   const auto usual = b.send(PlatformFixture::make_query(make_request_id(1)));
   b.run_for(kSecond);
   EXPECT_EQ(usual->status, 200);
@@ -135,11 +135,11 @@
     boost::asio::co_spawn(b.world().executor(), b.http_server().serve(streams.back()), boost::asio::detached);
     b.run_for(kMs);
   }
-  EXPECT_GE(b.http_server().counters().evicted, 200u);
+  EXPECT_GE(b.http_server().counters().evicted_connections, 200u);
   EXPECT_LE(asked, kComing);
   for (const auto& stream : streams) stream->close();
   b.run_for(kMs);
-  EXPECT_EQ(b.http_server().connections(), 0u);
+  EXPECT_EQ(b.http_server().connection_count(), 0u);
 }
 
 // A connection at work is never given up for one that comes new.
@@ -171,7 +171,7 @@
   for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
   EXPECT_EQ(further->status, 503);
   EXPECT_EQ(further->body, R"({"failure":"Full"})");
-  EXPECT_EQ(b.http_server().counters().no_room, 1u);
+  EXPECT_EQ(b.http_server().counters().rejected_at_capacity, 1u);
 }
 
 // What comes behind an open call has its time from when it came, not from when its turn comes.
--- a/tests/platform/pages_test.cpp
+++ b/tests/platform/pages_test.cpp
@@ -7,24 +7,24 @@
 namespace {
 
 TEST(PlatformPages, RowsOfThreeColumnsAlone) {
-  EXPECT_EQ(platform::rows_of(""), "");
-  EXPECT_EQ(platform::rows_of("a\t\t\n"), R"(["a","",""])");
-  EXPECT_EQ(platform::rows_of("\xe2\x82\xac\t\x24\t\\\n"), "[\"\xe2\x82\xac\",\"$\",\"\\\\\"]");
+  EXPECT_EQ(platform::page_to_json_rows(""), "");
+  EXPECT_EQ(platform::page_to_json_rows("a\t\t\n"), R"(["a","",""])");
+  EXPECT_EQ(platform::page_to_json_rows("\xe2\x82\xac\t\x24\t\\\n"), "[\"\xe2\x82\xac\",\"$\",\"\\\\\"]");
   for (const std::string wrong :
        {"a\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "a\tb\tc\n\n", "a\tb\t\xff\n", "a\tb\t\x01\n"})
-    EXPECT_EQ(platform::rows_of(wrong), std::nullopt) << wrong;
-  EXPECT_EQ(platform::rows_of(std::string(6'001, 'a')), std::nullopt);
+    EXPECT_EQ(platform::page_to_json_rows(wrong), std::nullopt) << wrong;
+  EXPECT_EQ(platform::page_to_json_rows(std::string(6'001, 'a')), std::nullopt);
 }
 
 TEST(PlatformPages, LoadReportsByName) {
-  const auto report = platform::read_meter("inflight:7;util:0.61;x0:0.25");
+  const auto report = platform::parse_load_report("inflight:7;util:0.61;x0:0.25");
   ASSERT_TRUE(report);
   EXPECT_EQ(report->in_flight, 7);
   EXPECT_EQ(report->cpu_utilization, 0.61);
   EXPECT_EQ(report->memory_utilization, 0.25);
   for (const char* wrong :
        {"", ":", "inflight", "inflight:", "inflight:nan", "inflight:-1", "other:3", "inflight:1x"})
-    EXPECT_FALSE(platform::read_meter(wrong)) << wrong;
+    EXPECT_FALSE(platform::parse_load_report(wrong)) << wrong;
 }
 
 }  // namespace
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -131,14 +131,14 @@
 
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream) {
     const int number = ++connections_;
-    http::RequestReader reader{http::ReadLimits{}};
+    http::RequestReader reader{http::MessageLimits{}};
     for (;;) {
       const std::optional<std::string> bytes = co_await stream->read(4096);
       if (!bytes || bytes->empty()) co_return;
-      for (auto state = reader.feed(*bytes); state != http::ReadState::kMore; state = reader.feed({})) {
-        EXPECT_EQ(state, http::ReadState::kDone)
+      for (auto state = reader.feed(*bytes); state != http::ParseStatus::kNeedMore; state = reader.feed({})) {
+        EXPECT_EQ(state, http::ParseStatus::kComplete)
             << "an engine received a malformed request: " << reader.error();
-        if (state == http::ReadState::kBad) co_return;
+        if (state == http::ParseStatus::kMalformed) co_return;
         ReceivedRequest received{world_.now(), number, reader.take()};
         const bool stays_open = co_await respond(*stream, std::move(received));
         if (!stays_open) co_return;
@@ -294,12 +294,12 @@
       if (const auto s = weak.lock()) s->close();
     });
     const bool sent = co_await rpc::write_all(*stream, std::move(bytes));
-    http::ResponseReader reader{http::ReadLimits{}};
-    for (auto state = http::ReadState::kMore; sent && state == http::ReadState::kMore;) {
+    http::ResponseReader reader{http::MessageLimits{}};
+    for (auto state = http::ParseStatus::kNeedMore; sent && state == http::ParseStatus::kNeedMore;) {
       const std::optional<std::string> piece = co_await stream->read(4096);
       if (!piece || piece->empty()) break;
       state = reader.feed(*piece);
-      while (state == http::ReadState::kDone) {
+      while (state == http::ParseStatus::kComplete) {
         http::Response response = reader.take();
         *out = {response.status, std::move(response.fields), std::move(response.body),
                 world_.now() - started_at};
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -60,11 +60,11 @@
 
   // Each statement runs for work_us_; the answer comes on the starting call.
   rpc::Awaitable<void> serve_node(StreamPtr stream) {
-    http::RequestReader reader{http::ReadLimits{}};
+    http::RequestReader reader{http::MessageLimits{}};
     for (;;) {
       const std::optional<std::string> bytes = co_await stream->read(4096);
       if (!bytes || bytes->empty()) co_return;
-      if (reader.feed(*bytes) != http::ReadState::kDone) continue;
+      if (reader.feed(*bytes) != http::ParseStatus::kComplete) continue;
       const http::Request request = reader.take();
       if (request.method == "POST") ++posts_;
       if (hangs_) continue;
@@ -88,15 +88,15 @@
   // The status of the answer; 0 where the connection ended, or none came about.
   rpc::Awaitable<void> ask(std::string bytes, int* status) {
     const StreamPtr stream = co_await net_->connect(listen_, 5 * kSecond);
-    http::ResponseReader reader{http::ReadLimits{}};
-    auto state = http::ReadState::kMore;
+    http::ResponseReader reader{http::MessageLimits{}};
+    auto state = http::ParseStatus::kNeedMore;
     if (stream) co_await rpc::write_all(*stream, bytes);
-    while (stream && state == http::ReadState::kMore) {
+    while (stream && state == http::ParseStatus::kNeedMore) {
       const std::optional<std::string> piece = co_await stream->read(4096);
       if (!piece || piece->empty()) break;
       state = reader.feed(*piece);
     }
-    *status = state == http::ReadState::kDone ? reader.response().status : 0;
+    *status = state == http::ParseStatus::kComplete ? reader.response().status : 0;
   }
   void start_ask(const std::string& bytes, int* status) {
     *status = -1;
