--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -16,6 +16,7 @@
 #include <stdexcept>
 #include <string>
 #include <string_view>
+#include <variant>
 #include <vector>
 
 #include "arrowipc/ipc.h"
@@ -26,9 +27,9 @@
 #include "http/reader.h"
 #include "nodes/content.h"
 #include "nodes/node_config.h"
+#include "platform/client_request.h"
 #include "platform/config.h"
 #include "platform/endpoints/endpoint_watcher.h"
-#include "platform/http_server.h"
 #include "platform/pages.h"
 #include "sql/shape.h"
 #include "sql/statement.h"
@@ -232,10 +233,10 @@
     platform::HttpServerOptions options;
     options.classes = {"lookup"};
     options.max_timeout_us = {5'000'000};
-    const platform::ClientRequest call = platform::parse_client_request(r, options);
-    if (call.status == 0)
-      check(call.id.size() == 16 && call.timeout_us > 0 && call.timeout_us <= 6'000'000,
-            "a wrong call is taken");
+    const auto parsed = platform::parse_client_request(r, options);
+    if (const auto* valid = std::get_if<platform::ClientRequest>(&parsed))
+      check(valid->id.size() == 16 && valid->timeout_us > 0 && valid->timeout_us <= 6'000'000,
+            "an invalid client request is accepted");
     return r.method + " " + r.target + " " + fields(r.fields) + r.body + (r.keep_alive ? "+" : "-");
   };
   const auto response = [&](const http::Response& r) {
