--- /dev/null
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -0,0 +1,391 @@
+#include "platform/engine_client/connection_pool.h"
+
+#include <algorithm>
+#include <boost/asio/co_spawn.hpp>
+#include <boost/asio/detached.hpp>
+#include <list>
+#include <utility>
+#include <vector>
+
+#include "http/reader.h"
+#include "platform/engine_client/engine_protocol.h"
+#include "platform/pages.h"
+
+namespace sablelink::platform {
+namespace {
+
+// Beyond the time for which an engine holds a call. A repeated call costs a connection, waiting costs the
+// client.
+constexpr TimeUs kCallTimeoutUs = 120'000;
+constexpr TimeUs kMinBackoffUs = 25'000;
+constexpr TimeUs kMaxBackoffUs = 200'000;
+// While all connections are in use. Other engines' connections don't announce that they become idle.
+constexpr TimeUs kBudgetRetryUs = 25'000;
+// A connection takes no call for this long after a response, so that a duplicate of the response shows before
+// it could be taken for the response to the next call.
+constexpr TimeUs kSettleUs = 5'000;
+constexpr size_t kReadBytes = 8 << 10;
+
+http::ReadLimits read_limits() {
+  http::ReadLimits limits;
+  limits.body_bytes = kPageBytes;
+  return limits;
+}
+
+bool is_long_poll(CallType type) { return type == CallType::kStart || type == CallType::kPoll; }
+
+}  // namespace
+
+struct ConnectionPool::Connection {
+  Connection(std::shared_ptr<rpc::ByteStream> byte_stream, TimeUs now)
+      : stream(std::move(byte_stream)), reader(read_limits()), idle_since(now) {}
+
+  const std::shared_ptr<rpc::ByteStream> stream;
+  http::ResponseReader reader;
+  std::optional<EngineCall> call;  // that waits for its response
+  TimeUs call_deadline = 0;
+  TimeUs available_at = 0;  // takes no call before
+  TimeUs idle_since = 0;
+  bool closed = false;
+};
+
+struct ConnectionPool::EngineState {
+  EngineId id = 0;
+  std::string address;
+  EndpointState endpoint_state = EndpointState::kRemoved;
+  bool listed = false;
+  size_t attempts = 0;
+  CallQueue calls;
+  std::list<ConnectionPtr> connections;
+  size_t dialing = 0;
+  TimeUs backoff_us = 0;        // after the last dial, if it failed
+  bool was_reset = false;       // a connection was reset, and nothing has come since
+  TimeUs next_dispatch_at = 0;  // 0: none is scheduled
+
+  bool is_unused() const {
+    return !listed && attempts == 0 && connections.empty() && dialing == 0 && calls.empty();
+  }
+};
+
+struct ConnectionPool::Availability {
+  ConnectionPtr connection;      // the one that has been idle longest; empty: none is available now
+  size_t expected = 0;           // connections that become available without a response or a further dial
+  TimeUs next_available_at = 0;  // when the first idle one does; 0: there is none
+};
+
+ConnectionPool::ConnectionPool(ConnectionPoolOptions options, rpc::Dialer& dialer, Clock& clock,
+                               const membership::EndpointRegistry& registry, Delegate& delegate,
+                               EngineClientCounters& counters)
+    : options_(options),
+      dialer_(dialer),
+      clock_(clock),
+      registry_(registry),
+      delegate_(delegate),
+      counters_(counters) {}
+
+ConnectionPool::~ConnectionPool() {
+  weak_factory_.invalidate();
+  for (const auto& [id, engine] : engines_) {
+    for (const ConnectionPtr& connection : engine->connections) {
+      connection->closed = true;
+      connection->stream->close();
+    }
+  }
+}
+
+ConnectionPool::EngineStatePtr ConnectionPool::state_of(EngineId id) {
+  EngineStatePtr& engine = engines_[id];
+  if (!engine) {
+    engine = std::make_shared<EngineState>();
+    engine->id = id;
+    engine->address = registry_.address(id);
+  }
+  return engine;
+}
+
+void ConnectionPool::on_endpoints_changed() {
+  for (const auto& [id, engine] : engines_) {
+    engine->listed = false;
+    engine->endpoint_state = EndpointState::kRemoved;
+  }
+  for (const Endpoint& endpoint : registry_.endpoints()) {
+    const EngineStatePtr engine = state_of(endpoint.engine);
+    engine->listed = true;
+    engine->endpoint_state = endpoint.state;
+  }
+  listed_engines_ = registry_.endpoints().size();
+  for (const auto& [id, engine] : engines_) {
+    if (!engine->listed) close_idle_connections(id);
+    dispatch(engine);
+  }
+}
+
+void ConnectionPool::add_attempt(const EngineAttempt& attempt) { ++state_of(attempt.engine())->attempts; }
+
+void ConnectionPool::remove_attempt(const std::shared_ptr<EngineAttempt>& attempt) {
+  const EngineStatePtr engine = state_of(attempt->engine());
+  --engine->attempts;
+  engine->calls.remove_attempt(attempt);
+}
+
+// ---- Calls ---------------------------------------------------------------------------------------------
+
+void ConnectionPool::enqueue(EngineCall call) {
+  const EngineStatePtr engine = state_of(call.attempt->engine());
+  engine->calls.push_back(std::move(call));
+}
+
+void ConnectionPool::enqueue_first(EngineCall call) {
+  const EngineStatePtr engine = state_of(call.attempt->engine());
+  engine->calls.push_front(std::move(call));
+}
+
+void ConnectionPool::schedule_dispatch(EngineId engine) { schedule_dispatch(state_of(engine), 0); }
+
+void ConnectionPool::schedule_dispatch(const EngineStatePtr& engine, TimeUs delay) {
+  const TimeUs at = clock_.now() + delay;
+  // An earlier dispatch schedules the next one itself if calls are left.
+  if (engine->next_dispatch_at != 0 && engine->next_dispatch_at <= at) return;
+  engine->next_dispatch_at = at;
+  clock_.call_after(delay, [self = weak_factory_.get_weak_ptr(), engine, at] {
+    if (engine->next_dispatch_at == at) engine->next_dispatch_at = 0;
+    if (self) self->dispatch(engine);
+  });
+}
+
+void ConnectionPool::dispatch(const EngineStatePtr& engine) {
+  // An engine that is leaving starts nothing that was decided on before.
+  while (engine->endpoint_state != EndpointState::kReady && engine->calls.has(CallType::kStart)) {
+    fail_calls(*engine, CallType::kStart, CallFailure::kNotSent);
+  }
+  const TimeUs now = clock_.now();
+  while (!engine->calls.empty()) {
+    const Availability available = check_availability(*engine, now);
+    if (available.connection && available.connection->stream->readable()) {
+      // Its end, or bytes that nobody asked for: the connection's reader will close it.
+      available.connection->available_at = now + kSettleUs;
+      continue;
+    }
+    if (available.connection) {
+      send_next(*engine, available.connection);
+      continue;
+    }
+    if (available.next_available_at > 0) schedule_dispatch(engine, available.next_available_at - now);
+    if (available.expected >= engine->calls.size()) return;
+    const size_t max_connections = options_.budget.per_engine(listed_engines_);
+    if (engine->connections.size() + engine->dialing >= max_connections) return;
+    if (connections_ >= options_.budget.engines && !close_longest_idle_connection()) {
+      schedule_dispatch(engine, kBudgetRetryUs);
+      return;
+    }
+    dial(engine);
+  }
+}
+
+ConnectionPool::Availability ConnectionPool::check_availability(const EngineState& engine, TimeUs now) {
+  Availability available;
+  available.expected = engine.dialing;
+  for (const ConnectionPtr& connection : engine.connections) {
+    if (connection->call) continue;
+    if (connection->available_at > now) {
+      ++available.expected;
+      const TimeUs at = connection->available_at;
+      if (available.next_available_at == 0 || at < available.next_available_at) {
+        available.next_available_at = at;
+      }
+      continue;
+    }
+    if (!available.connection || connection->idle_since < available.connection->idle_since) {
+      available.connection = connection;
+    }
+  }
+  return available;
+}
+
+void ConnectionPool::send_next(EngineState& engine, const ConnectionPtr& connection) {
+  EngineCall call = engine.calls.pop();
+  const std::optional<http::Request> request = delegate_.prepare_call(call);
+  if (!request) return;
+  ++counters_.calls_sent;
+  std::string bytes =
+      http::write_request(request->method, request->target, engine.address, request->fields, request->body);
+  const TimeUs hold_us = is_long_poll(call.type) ? kLongPollUs : 0;
+  connection->call_deadline = clock_.now() + kCallTimeoutUs + hold_us;
+  connection->call = std::move(call);
+  boost::asio::co_spawn(dialer_.executor(), write(connection, std::move(bytes)), boost::asio::detached);
+}
+
+rpc::Awaitable<void> ConnectionPool::write(ConnectionPtr connection, std::string bytes) {
+  // Not awaited within a condition: GCC 12 destroys such a coroutine frame wrongly.
+  const bool written = co_await rpc::write_all(*connection->stream, std::move(bytes));
+  if (!written) connection->stream->close();  // run_connection() then reads the end
+}
+
+// ---- Connections ---------------------------------------------------------------------------------------
+
+void ConnectionPool::dial(const EngineStatePtr& engine) {
+  ++engine->dialing;
+  ++connections_;
+  ++counters_.dials;
+  boost::asio::co_spawn(dialer_.executor(), run_connection(engine), boost::asio::detached);
+}
+
+rpc::Awaitable<void> ConnectionPool::run_connection(EngineStatePtr engine) {
+  const WeakPtr<ConnectionPool> self = weak_factory_.get_weak_ptr();
+  rpc::ConnectEnd end = rpc::ConnectEnd::kFailed;
+  const std::shared_ptr<rpc::ByteStream> stream =
+      co_await dialer_.connect(engine->address, options_.dial_timeout_us, &end);
+  if (!self) co_return;
+  --engine->dialing;
+  if (!stream) {
+    --connections_;
+    on_dial_failed(engine, end);
+    co_return;
+  }
+  engine->backoff_us = 0;
+  engine->was_reset = false;
+  const auto connection = std::make_shared<Connection>(stream, clock_.now());
+  engine->connections.push_back(connection);
+  dispatch(engine);
+  while (!connection->closed) {
+    const std::optional<std::string> bytes = co_await stream->read(kReadBytes);
+    if (!self || connection->closed) co_return;
+    on_bytes(engine, connection, bytes);
+    if (!self) co_return;
+  }
+}
+
+void ConnectionPool::on_dial_failed(const EngineStatePtr& engine, rpc::ConnectEnd end) {
+  const bool refused = end == rpc::ConnectEnd::kRefused;
+  // An engine at its limit of connections refuses further ones and goes on with what it runs. It is down if
+  // its connections were reset and none is open.
+  const bool is_down = refused && engine->connections.empty() && engine->was_reset;
+  ++(refused ? counters_.dials_refused : counters_.dials_failed);
+  if (refused || engine->connections.empty()) {
+    fail_calls(*engine, CallType::kStart, CallFailure::kNotSent);
+  }
+  if (is_down) {
+    fail_calls(*engine, CallType::kFetchPage, CallFailure::kEngineDown);
+    fail_calls(*engine, CallType::kPoll, CallFailure::kEngineDown);
+    fail_calls(*engine, CallType::kCancel, CallFailure::kEngineDown);
+  }
+  engine->backoff_us = std::clamp(2 * engine->backoff_us, kMinBackoffUs, kMaxBackoffUs);
+  if (!engine->calls.empty()) schedule_dispatch(engine, engine->backoff_us);
+}
+
+void ConnectionPool::on_bytes(const EngineStatePtr& engine, const ConnectionPtr& connection,
+                              const std::optional<std::string>& bytes) {
+  if (!bytes) engine->was_reset = true;
+  if (!bytes || !connection->call) {
+    on_connection_lost(engine, connection);
+    return;
+  }
+  const bool ended = bytes->empty();
+  const http::ReadState state = ended ? connection->reader.finish() : connection->reader.feed(*bytes);
+  if (state == http::ReadState::kDone) {
+    const bool reusable =
+        !ended && !connection->reader.has_rest() && connection->reader.response().keep_alive;
+    on_response_complete(engine, connection, reusable);
+    return;
+  }
+  if (state == http::ReadState::kMore && !ended) return;
+  if (!ended) ++counters_.malformed_responses;
+  on_connection_lost(engine, connection);
+}
+
+void ConnectionPool::on_response_complete(const EngineStatePtr& engine, const ConnectionPtr& connection,
+                                          bool reusable) {
+  const WeakPtr<ConnectionPool> self = weak_factory_.get_weak_ptr();
+  const http::Response response = connection->reader.take();
+  engine->was_reset = false;
+  EngineCall call = std::move(*connection->call);
+  connection->call.reset();
+  connection->idle_since = clock_.now();
+  connection->available_at = connection->idle_since + kSettleUs;
+  if (!reusable) close(*engine, connection);
+  delegate_.on_response(std::move(call), response);
+  if (self) dispatch(engine);
+}
+
+void ConnectionPool::on_connection_lost(const EngineStatePtr& engine, const ConnectionPtr& connection) {
+  std::optional<EngineCall> call = std::exchange(connection->call, std::nullopt);
+  close(*engine, connection);
+  if (call) {
+    ++counters_.calls_interrupted;
+    delegate_.on_call_failed(std::move(*call), CallFailure::kInterrupted);
+  }
+  dispatch(engine);
+}
+
+void ConnectionPool::fail_calls(EngineState& engine, CallType type, CallFailure failure) {
+  for (EngineCall& call : engine.calls.take_all(type)) delegate_.on_call_failed(std::move(call), failure);
+}
+
+void ConnectionPool::close(EngineState& engine, const ConnectionPtr& connection) {
+  if (connection->closed) return;
+  connection->closed = true;
+  engine.connections.remove(connection);
+  --connections_;
+  connection->stream->close();
+}
+
+void ConnectionPool::close_idle_connections(EngineId engine) {
+  const auto it = engines_.find(engine);
+  if (it == engines_.end()) return;
+  const EngineStatePtr state = it->second;
+  for (const ConnectionPtr& connection : std::list<ConnectionPtr>(state->connections)) {
+    if (!connection->call) close(*state, connection);
+  }
+}
+
+// False: every connection of every engine has a call.
+bool ConnectionPool::close_longest_idle_connection() {
+  EngineStatePtr longest_idle_engine;
+  ConnectionPtr longest_idle;
+  for (const auto& [id, engine] : engines_) {
+    for (const ConnectionPtr& connection : engine->connections) {
+      if (connection->call) continue;
+      if (longest_idle && connection->idle_since >= longest_idle->idle_since) continue;
+      longest_idle = connection;
+      longest_idle_engine = engine;
+    }
+  }
+  if (!longest_idle) return false;
+  close(*longest_idle_engine, longest_idle);
+  return true;
+}
+
+// ---- Timeouts ------------------------------------------------------------------------------------------
+
+void ConnectionPool::expire() {
+  const TimeUs now = clock_.now();
+  const bool was_stalled = now - std::exchange(last_expiry_at_, now) > 2 * kExpiryIntervalUs;
+  for (auto it = engines_.begin(); it != engines_.end();) {
+    const EngineStatePtr engine = it->second;
+    ++it;
+    expire_connections(engine, now, was_stalled);
+    if (engine->is_unused()) engines_.erase(engine->id);
+  }
+}
+
+void ConnectionPool::expire_connections(const EngineStatePtr& engine, TimeUs now, bool was_stalled) {
+  const TimeUs max_idle_us = options_.engine_idle_timeout_us * 3 / 5;
+  std::vector<ConnectionPtr> expired;
+  for (const ConnectionPtr& connection : engine->connections) {
+    // After a stall of this process responses may be waiting to be read: they are read first.
+    const bool is_expired = connection->call ? !was_stalled && now >= connection->call_deadline
+                                             : now - connection->idle_since > max_idle_us;
+    if (is_expired) expired.push_back(connection);
+  }
+  for (const ConnectionPtr& connection : expired) {
+    if (connection->closed) continue;
+    if (!connection->call) {
+      close(*engine, connection);
+      continue;
+    }
+    ++counters_.calls_timed_out;
+    on_connection_lost(engine, connection);
+  }
+}
+
+}  // namespace sablelink::platform
--- /dev/null
+++ b/src/platform/engine_client/engine_attempt.cpp
@@ -0,0 +1,98 @@
+#include "platform/engine_client/engine_attempt.h"
+
+#include <utility>
+
+namespace sablelink::platform {
+namespace {
+
+constexpr int kMaxConsecutiveFailures = 6;
+constexpr TimeUs kAbandonMarginUs = 150'000;
+constexpr TimeUs kCancelDelayUs = 30'000;
+
+}  // namespace
+
+EngineAttempt::EngineAttempt(dispatch::AttemptId id, EngineId engine, dispatch::AttemptSpec spec, TimeUs now)
+    : id_(id), engine_(engine), spec_(std::move(spec)), created_at_(now) {}
+
+void EngineAttempt::on_start_sent(TimeUs now) {
+  start_sent_at_ = now;
+  last_call_at_ = now;
+  start_in_flight_ = true;
+}
+
+bool EngineAttempt::on_call_failed() {
+  ++consecutive_failures_;
+  return consecutive_failures_ <= kMaxConsecutiveFailures;
+}
+
+AttemptStep EngineAttempt::on_poll_response(PollResponse response) {
+  if (response.load_report) result_.load_report = response.load_report;
+  switch (response.status) {
+    case PollResponse::Status::kMalformed:
+      return {AttemptStep::Type::kMalformedResponse};
+    case PollResponse::Status::kRunning:
+      consecutive_failures_ = 0;
+      start_unconfirmed_ = false;
+      return {AttemptStep::Type::kPoll};
+    case PollResponse::Status::kOverloaded:
+      return {AttemptStep::Type::kComplete, Outcome::kOverloaded};
+    case PollResponse::Status::kFailed:
+      // After an unconfirmed start this only says that the engine doesn't know the attempt, not whether it
+      // executed. The engine itself is responsive.
+      result_.engine_responsive = start_unconfirmed_;
+      return {AttemptStep::Type::kComplete, start_unconfirmed_ ? Outcome::kReset : Outcome::kError};
+    case PollResponse::Status::kComplete:
+      break;
+  }
+  consecutive_failures_ = 0;
+  if (response.work_us) result_.work_us = response.work_us;
+  if (response.memory_used_mb) result_.memory_used_mb = response.memory_used_mb;
+  pages_.assign(response.page_count, std::nullopt);
+  pages_[0] = std::move(response.first_page_rows);
+  missing_pages_ = pages_.size() - 1;
+  if (missing_pages_ == 0) return {AttemptStep::Type::kComplete, Outcome::kOk};
+  return {AttemptStep::Type::kFetchPages};
+}
+
+AttemptStep EngineAttempt::on_page_response(int page, PageResponse response) {
+  if (response.status == PageResponse::Status::kFailed) {
+    return {AttemptStep::Type::kComplete, Outcome::kError};
+  }
+  if (response.status == PageResponse::Status::kMalformed) return {AttemptStep::Type::kMalformedResponse};
+  consecutive_failures_ = 0;
+  std::optional<std::string>& rows = pages_[page];
+  if (rows) return {AttemptStep::Type::kAwaitPages};
+  rows = std::move(response.rows);
+  --missing_pages_;
+  if (missing_pages_ > 0) return {AttemptStep::Type::kAwaitPages};
+  return {AttemptStep::Type::kComplete, Outcome::kOk};
+}
+
+std::string EngineAttempt::joined_rows() const {
+  std::string joined;
+  for (const std::optional<std::string>& rows : pages_) {
+    if (rows->empty()) continue;
+    if (!joined.empty()) joined += ',';
+    joined += *rows;
+  }
+  return joined;
+}
+
+dispatch::AttemptResult EngineAttempt::result(Outcome outcome) const {
+  dispatch::AttemptResult result = result_;
+  result.outcome = outcome;
+  if (outcome != Outcome::kOk) {
+    result.work_us.reset();
+    result.memory_used_mb.reset();
+  }
+  return result;
+}
+
+TimeUs EngineAttempt::abandoned_at() const {
+  // The engine counts from the end of the last call, which it may have held.
+  return last_call_at_ + kLongPollUs + kAbandonedAfterUs + kAbandonMarginUs;
+}
+
+TimeUs EngineAttempt::earliest_cancel_at() const { return start_sent_at_ + kCancelDelayUs; }
+
+}  // namespace sablelink::platform
--- /dev/null
+++ b/src/platform/engine_client/orphaned_attempts.cpp
@@ -0,0 +1,50 @@
+#include "platform/engine_client/orphaned_attempts.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace sablelink::platform {
+
+void OrphanedAttempts::add(const AttemptPtr& attempt) {
+  Group& group = groups_[attempt->client_tag()];
+  group.orphaned.push_back(attempt);
+  group.expires_at = std::max(group.expires_at, attempt->abandoned_at());
+}
+
+bool OrphanedAttempts::delay(const AttemptPtr& attempt) {
+  const auto it = groups_.find(attempt->client_tag());
+  if (it == groups_.end()) return false;
+  it->second.delayed.push_back(attempt);
+  return true;
+}
+
+void OrphanedAttempts::remove_delayed(const AttemptPtr& attempt) {
+  const auto it = groups_.find(attempt->client_tag());
+  if (it != groups_.end()) std::erase(it->second.delayed, attempt);
+}
+
+std::vector<OrphanedAttempts::AttemptPtr> OrphanedAttempts::on_confirmed(const AttemptPtr& attempt) {
+  const auto it = groups_.find(attempt->client_tag());
+  if (it == groups_.end()) return {};
+  std::erase(it->second.orphaned, attempt);
+  if (!it->second.orphaned.empty()) return {};
+  std::vector<AttemptPtr> released = std::move(it->second.delayed);
+  groups_.erase(it);
+  return released;
+}
+
+std::vector<OrphanedAttempts::AttemptPtr> OrphanedAttempts::expire(TimeUs now) {
+  std::vector<AttemptPtr> released;
+  for (auto it = groups_.begin(); it != groups_.end();) {
+    const Group& group = it->second;
+    if (now < group.expires_at) {
+      ++it;
+      continue;
+    }
+    released.insert(released.end(), group.delayed.begin(), group.delayed.end());
+    it = groups_.erase(it);
+  }
+  return released;
+}
+
+}  // namespace sablelink::platform
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -39,9 +39,9 @@
   platform::EngineClientOptions to_nodes;
   to_nodes.budget = budget;
   to_nodes.dial_timeout_us = config_.dial_timeout_us;
-  to_nodes.idle_close_us = config_.idle_close_us;
+  to_nodes.engine_idle_timeout_us = config_.idle_close_us;
   to_nodes.hedging_allowed = config_.settings.hedging_allowed;
-  to_nodes.classes = config_.names.classes;
+  to_nodes.class_names = config_.names.classes;
   nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
   dispatch::DispatcherLimits limits;
   limits.total_buffer_bytes = (config_.memory_mb << 20) / kHeldShare;
@@ -128,11 +128,11 @@
                          {"wrong", std::to_string(f.wrong + f.unreadable)},
                          {"no_room", std::to_string(f.no_room)},
                          {"dials", std::to_string(n.dials)},
-                         {"calls", std::to_string(n.calls)},
-                         {"broken", std::to_string(n.broken)},
-                         {"spoilt", std::to_string(n.spoilt)},
-                         {"overdue", std::to_string(n.overdue)},
-                         {"held_back", std::to_string(n.held_back)}});
+                         {"calls", std::to_string(n.calls_sent)},
+                         {"broken", std::to_string(n.calls_interrupted)},
+                         {"spoilt", std::to_string(n.malformed_responses)},
+                         {"overdue", std::to_string(n.calls_timed_out)},
+                         {"held_back", std::to_string(n.attempts_delayed)}});
   loop_.stop();
 }
 
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -212,7 +212,7 @@
   directory.replace({node});
   platform::EngineClientOptions options;
   options.budget.engines = 4;
-  options.classes = {"lookup"};
+  options.class_names = {"lookup"};
   auto nodes = std::make_unique<platform::EngineClient>(options, *net, here, directory);
   struct NoLists : dispatch::EndpointSource {
     void watch(bool) override {}
@@ -227,7 +227,7 @@
   // Stands still as soon as the call has left, well past the time at which it is given up.
   bool stood = false;
   std::function<void()> look = [&] {
-    if (!stood && nodes->counters().calls > 0) {
+    if (!stood && nodes->counters().calls_sent > 0) {
       std::this_thread::sleep_for(std::chrono::milliseconds(600));
       stood = true;
     }
@@ -236,7 +236,7 @@
   };
   here.call_after(0, [&] { look(); });
   here.run();
-  EXPECT_EQ(nodes->counters().overdue, 0u);
+  EXPECT_EQ(nodes->counters().calls_timed_out, 0u);
   EXPECT_EQ(asked, 1);
   nodes.reset();
   net.reset();
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -100,13 +100,13 @@
     directory_.replace({node});
     platform::EngineClientOptions to_nodes;
     to_nodes.budget.engines = 2;
-    to_nodes.classes = {"lookup", "report"};
+    to_nodes.class_names = {"lookup", "report"};
     nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
         plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *nodes_, lists_, log_);
     nodes_->set_dispatcher(dispatcher_.get());
     platform::HttpServerOptions to_clients;
-    to_clients.classes = to_nodes.classes;
+    to_clients.classes = to_nodes.class_names;
     to_clients.max_timeout_us = {5 * kSecond, 15 * kSecond};
     to_clients.max_connections = connections;
     front_ = std::make_unique<platform::HttpServer>(to_clients, *dispatcher_, *net_, loop_);
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -185,7 +185,7 @@
     options_.max_connections = client_connections;
     platform::EngineClientOptions to_nodes;
     to_nodes.budget.engines = node_connections;
-    to_nodes.classes = options_.classes;
+    to_nodes.class_names = options_.classes;
     nodes_ = std::make_unique<platform::EngineClient>(to_nodes, net_, *actor_, directory_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(settings_, 7, dispatch::DispatcherLimits{},
                                                                 *actor_, *nodes_, lists_, log_);
