--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -3,180 +3,122 @@
 #include <algorithm>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
+#include <optional>
 #include <utility>
 
 #include "base/signal.h"
-#include "http/message.h"
 
 namespace sablelink::platform {
 namespace {
 
-constexpr size_t kMostLine = 8u << 20;    // a whole list of 20,000 nodes has room
-constexpr TimeUs kSilenceUs = 1'700'000;  // heartbeats come each second
-constexpr TimeUs kDialUs = 500'000;
-constexpr TimeUs kFirstPauseUs = 20'000, kMostPauseUs = 400'000;  // between tries to connect
-constexpr size_t kPiece = 16 << 10;
+constexpr TimeUs kSilenceTimeoutUs = 1'700'000;  // heartbeats come each second
+constexpr TimeUs kDialTimeoutUs = 500'000;
+constexpr TimeUs kMinBackoffUs = 20'000;
+constexpr TimeUs kMaxBackoffUs = 400'000;
+constexpr TimeUs kReconnectDelayUs = 10'000;  // after a connection on which complete lines came
+constexpr size_t kReadBytes = 16 << 10;
 
 }  // namespace
 
-ChangeLogReader::Line ChangeLogReader::read(std::string_view line, ChangeEvent& event) {
-  if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-  if (line.empty()) return Line::kPassed;
-  if (line.front() != '{') {
-    const long long last = http::whole_number(line, 9'000'000'000'000'000);
-    return last < 0 || static_cast<uint64_t>(last) > last_ ? Line::kAskAgain : Line::kPassed;
-  }
-  try {
-    event = parse_event(line, names_);
-  } catch (const ConfigError&) {
-    return Line::kAskAgain;
-  }
-  if (event.sequence_number <= last_) return Line::kPassed;
-  if (event.sequence_number > last_ + 1) return Line::kAskAgain;
-  last_ = event.sequence_number;
-  return Line::kApply;
-}
-
-bool ChangeLogReader::feed(std::string_view bytes, const std::function<void(const ChangeEvent&)>& apply) {
-  while (!bytes.empty()) {
-    const size_t end = bytes.find('\n');
-    if (end == std::string_view::npos) {
-      partial_ += bytes;
-      return partial_.size() <= kMostLine;
-    }
-    partial_ += bytes.substr(0, end);
-    bytes.remove_prefix(end + 1);
-    ++lines_;
-    ChangeEvent event;
-    const std::string line = std::exchange(partial_, {});
-    switch (read(line, event)) {
-      case Line::kApply:
-        apply(event);
-        break;
-      case Line::kPassed:
-        break;
-      case Line::kAskAgain:
-        return false;
-    }
-  }
-  return true;
-}
+EndpointWatcher::EndpointWatcher(rpc::Dialer& dialer, Clock& clock, Log& log,
+                                 EndpointsChangedCallback on_endpoints_changed)
+    : dialer_(dialer), clock_(clock), log_(log), on_endpoints_changed_(std::move(on_endpoints_changed)) {}
 
-void ChangeLogReader::take(const std::vector<ChangeEvent>& events, uint64_t up_to,
-                           const std::function<void(const ChangeEvent&)>& apply) {
-  for (const ChangeEvent& event : events) {
-    if (event.sequence_number <= last_) continue;
-    last_ = event.sequence_number;
-    apply(event);
-  }
-  last_ = std::max(last_, up_to);
+EndpointWatcher::~EndpointWatcher() {
+  weak_factory_.invalidate();
+  if (active_stream_) active_stream_->close();
 }
 
-bool EndpointSet::apply(const ChangeEvent& event) {
-  if (!event.has_endpoints) return false;
-  if (event.is_complete) nodes_.clear();
-  for (const ChangeEvent::Node& told : event.nodes) {
-    if (told.gone)
-      nodes_.erase(told.node.name);
-    else
-      nodes_[told.node.name] = told.node;
-  }
-  return true;
+void EndpointWatcher::start(const PlatformConfig& config) {
+  reader_ = std::make_unique<ChangeLogReader>(0, config.names);
+  switch_address(config);
 }
 
-std::vector<config::EngineConfig> EndpointSet::nodes() const {
-  std::vector<config::EngineConfig> out;
-  for (const auto& [name, node] : nodes_) out.push_back(node);
-  return out;
+void EndpointWatcher::switch_address(const PlatformConfig& config) {
+  reader_->add_known_events(config.known, config.known_seq, event_handler());
+  report_changes();
+  ++connection_generation_;
+  boost::asio::co_spawn(dialer_.executor(), watch(connection_generation_, config.changelog),
+                        boost::asio::detached);
 }
 
-EndpointWatcher::EndpointWatcher(rpc::Dialer& net, Clock& clock, Log& log, EndpointsChanged told)
-    : net_(net),
-      clock_(clock),
-      log_(log),
-      told_(std::move(told)),
-      self_(std::make_shared<EndpointWatcher*>(this)) {}
-
-EndpointWatcher::~EndpointWatcher() {
-  *self_ = nullptr;
-  if (stream_) stream_->close();
+ChangeLogReader::EventHandler EndpointWatcher::event_handler() {
+  return [this](const ChangeEvent& event) {
+    if (endpoints_.apply(event)) has_unreported_changes_ = true;
+  };
 }
 
-void EndpointWatcher::apply(
-    const std::function<void(const std::function<void(const ChangeEvent&)>&)>& source) {
-  bool changed = false;
-  source([&](const ChangeEvent& event) { changed = list_.apply(event) || changed; });
-  if (changed) told_(list_.nodes());
+void EndpointWatcher::report_changes() {
+  if (std::exchange(has_unreported_changes_, false)) on_endpoints_changed_(endpoints_.endpoints());
 }
 
-void EndpointWatcher::start(const PlatformConfig& config) {
-  sequence_ = std::make_unique<ChangeLogReader>(0, config.names);
-  switch_address(config);
+rpc::Awaitable<void> EndpointWatcher::watch(uint64_t generation, std::string address) {
+  const WeakPtr<EndpointWatcher> self = weak_factory_.get_weak_ptr();
+  TimeUs backoff_us = 0;
+  while (true) {
+    if (backoff_us > 0) co_await pause(clock_, backoff_us);
+    if (!self || generation != connection_generation_) co_return;
+    backoff_us = std::clamp(backoff_us * 2, kMinBackoffUs, kMaxBackoffUs);
+    const std::shared_ptr<rpc::ByteStream> stream = co_await dialer_.connect(address, kDialTimeoutUs);
+    if (!self || generation != connection_generation_) co_return;
+    if (!stream) continue;
+    activate(generation, stream);
+    const bool lines_came = co_await read_events(generation, address, stream);
+    if (!self || generation < active_generation_) co_return;
+    if (lines_came) backoff_us = kReconnectDelayUs;
+  }
 }
 
-void EndpointWatcher::switch_address(const PlatformConfig& config) {
-  apply([&](const auto& each) { sequence_->take(config.known, config.known_seq, each); });
-  spawn(config.changelog);
+void EndpointWatcher::activate(uint64_t generation, const std::shared_ptr<rpc::ByteStream>& stream) {
+  // What the previous connection has yet to deliver is requested again by its sequence number.
+  if (active_stream_) active_stream_->close();
+  active_stream_ = stream;
+  active_generation_ = generation;
+  reader_->on_connected();
 }
 
-void EndpointWatcher::spawn(const std::string& address) {
-  boost::asio::co_spawn(net_.executor(), follow(++life_, address), boost::asio::detached);
+// Reads until the connection ends, is replaced or misses an event. True: it brought valid complete lines.
+rpc::Awaitable<bool> EndpointWatcher::read_events(uint64_t generation, std::string address,
+                                                  std::shared_ptr<rpc::ByteStream> stream) {
+  const WeakPtr<EndpointWatcher> self = weak_factory_.get_weak_ptr();
+  const std::string request = "since " + std::to_string(reader_->last_sequence_number()) + "\n";
+  const bool requested = co_await rpc::write_all(*stream, request);
+  if (!self || generation < active_generation_ || !requested) co_return false;
+  log_.info("endpoint_watch_started",
+            {{"address", address}, {"since", std::to_string(reader_->last_sequence_number())}});
+  last_line_at_ = clock_.now();
+  check_silence(stream);
+  bool lines_came = false;
+  while (true) {
+    const std::optional<std::string> bytes = co_await stream->read(kReadBytes);
+    if (!self || generation < active_generation_) co_return false;
+    if (!bytes || bytes->empty()) break;
+    const uint64_t lines_before = reader_->complete_lines();
+    const bool in_sequence = reader_->feed(*bytes, event_handler());
+    report_changes();
+    if (!in_sequence) break;
+    if (reader_->complete_lines() == lines_before) continue;  // part of a line is no sign of life
+    last_line_at_ = clock_.now();
+    lines_came = true;
+  }
+  stream->close();
+  log_.info("endpoint_watch_lost",
+            {{"address", address}, {"last", std::to_string(reader_->last_sequence_number())}});
+  co_return lines_came;
 }
 
-rpc::Awaitable<void> EndpointWatcher::follow(uint64_t life, std::string address) {
-  const std::shared_ptr<EndpointWatcher*> self = self_;
-  const auto over = [&] { return *self == nullptr || life < stands_; };
-  const auto dials = [&] { return *self != nullptr && life == life_; };
-  TimeUs rest = 0;
-  while (true) {
-    if (rest > 0) co_await pause(clock_, rest);
-    if (!dials()) co_return;
-    rest = std::clamp(rest * 2, kFirstPauseUs, kMostPauseUs);
-    const std::shared_ptr<rpc::ByteStream> stream = co_await net_.connect(address, kDialUs);
-    if (!dials()) co_return;
-    if (!stream) continue;
-    // From here on this connection is the one: whatever an earlier one still tells is asked for by number.
-    if (stream_) stream_->close();
-    stream_ = stream;
-    stands_ = life;
-    sequence_->begin();
-    const std::string ask = "since " + std::to_string(sequence_->last()) + "\n";
-    const bool asked = co_await rpc::write_all(*stream, ask);
-    if (over()) co_return;
-    if (!asked) continue;
-    log_.info("changelog_asked", {{"address", address}, {"since", std::to_string(sequence_->last())}});
-    // Nothing for longer than a heartbeat allows: the log has stopped, though its connection stands.
-    const auto heard = std::make_shared<TimeUs>(clock_.now());
-    const auto watch = std::make_shared<std::function<void()>>();
-    *watch = [self, weak = std::weak_ptr<rpc::ByteStream>(stream), heard,
-              again = std::weak_ptr<std::function<void()>>(watch)] {
-      const auto s = weak.lock();
-      const auto next = again.lock();
-      if (!s || !next || *self == nullptr) return;
-      Clock& clock = (*self)->clock_;
-      const TimeUs left = *heard + kSilenceUs - clock.now();
-      if (left <= 0)
-        s->close();
-      else
-        clock.call_after(left, [next] { (*next)(); });
-    };
-    (*watch)();
-    for (;;) {
-      const std::optional<std::string> bytes = co_await stream->read(kPiece);
-      if (over()) co_return;
-      if (!bytes || bytes->empty()) break;
-      bool trusted = true;
-      const uint64_t lines = sequence_->lines();
-      apply([&](const auto& each) { trusted = sequence_->feed(*bytes, each); });
-      if (!trusted) break;
-      if (sequence_->lines() == lines) continue;  // part of a line is no sign of life
-      *heard = clock_.now();
-      rest = 0;
-    }
+// Closes the stream when no complete line has come for too long; until then, checks again when that may be.
+void EndpointWatcher::check_silence(const std::weak_ptr<rpc::ByteStream>& watched) {
+  const std::shared_ptr<rpc::ByteStream> stream = watched.lock();
+  if (!stream || stream != active_stream_) return;
+  const TimeUs remaining_us = last_line_at_ + kSilenceTimeoutUs - clock_.now();
+  if (remaining_us <= 0) {
     stream->close();
-    if (rest == 0) rest = kFirstPauseUs / 2;
-    log_.info("changelog_broken", {{"address", address}, {"last", std::to_string(sequence_->last())}});
+    return;
   }
+  clock_.call_after(remaining_us, [self = weak_factory_.get_weak_ptr(), watched] {
+    if (self) self->check_silence(watched);
+  });
 }
 
 }  // namespace sablelink::platform
--- a/src/platform/endpoints/endpoint_watcher.h
+++ b/src/platform/endpoints/endpoint_watcher.h
@@ -1,90 +1,65 @@
-// The list of nodes as the platform's change log tells it: events by number, each applied once and in order.
+// Watches the platform's change log over a connection and reports the endpoint list.
 #pragma once
 
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "base/clock.h"
 #include "base/log.h"
+#include "base/weak_ptr.h"
 #include "platform/config.h"
+#include "platform/endpoints/change_log_reader.h"
+#include "platform/endpoints/endpoint_set.h"
 #include "rpc/byte_stream.h"
 
 namespace sablelink::platform {
 
-// Lines out of bytes, and what each asks for. Pure.
-class ChangeLogReader {
- public:
-  ChangeLogReader(uint64_t last, const SettingNames& names) : last_(last), names_(names) {}
-
-  enum class Line {
-    kApply,    // event() is the next one
-    kPassed,   // a heartbeat, or an event known already
-    kAskAgain  // what can't be read, or a gap: the connection's text is no longer trusted
-  };
-  uint64_t last() const { return last_; }
-  uint64_t lines() const { return lines_; }  // whole ones, so far
-  // A new connection begins: what came of a line before counts no more.
-  void begin() { partial_.clear(); }
-  // Takes bytes and calls apply for each event that is next. False: ask again on a new connection.
-  bool feed(std::string_view bytes, const std::function<void(const ChangeEvent&)>& apply);
-  // Events of a configuration, which knows all up to the number.
-  void take(const std::vector<ChangeEvent>& events, uint64_t up_to,
-            const std::function<void(const ChangeEvent&)>& apply);
-
- private:
-  Line read(std::string_view line, ChangeEvent& event);
-
-  uint64_t last_, lines_ = 0;
-  const SettingNames names_;
-  std::string partial_;
-};
-
-// The list itself: the nodes that are known, by name. Pure.
-class EndpointSet {
- public:
-  // True where the list has changed.
-  bool apply(const ChangeEvent& event);
-  std::vector<config::EngineConfig> nodes() const;
-
- private:
-  std::map<std::string, config::EngineConfig> nodes_;
-};
-
-// The connection: asks for what is missing, again after each break and wherever no whole line has come for
-// longer than the log's heartbeat allows. On the net's strand alone.
+/// Connects to the change log, asks for the events after the last known one, and reconnects, with backoff,
+/// when the connection ends, an event is missing or no complete line has come for longer than the log's
+/// heartbeats allow. On the dialer's strand alone. Timers and coroutines may outlive the watcher; they then
+/// do nothing.
 class EndpointWatcher {
  public:
-  using EndpointsChanged = std::function<void(const std::vector<config::EngineConfig>&)>;
+  /// Called with the complete list after each change.
+  using EndpointsChangedCallback = std::function<void(const std::vector<config::EngineConfig>&)>;
 
-  // told is called with the whole list after each change.
-  EndpointWatcher(rpc::Dialer& net, Clock& clock, Log& log, EndpointsChanged told);
+  /// Dialer, clock and log must outlive the watcher, the clock also its timers.
+  EndpointWatcher(rpc::Dialer& dialer, Clock& clock, Log& log, EndpointsChangedCallback on_endpoints_changed);
+  /// Closes the connection. The callback is not called any more.
   ~EndpointWatcher();
+  EndpointWatcher(const EndpointWatcher&) = delete;
+  EndpointWatcher& operator=(const EndpointWatcher&) = delete;
 
-  // Begins with the events that the configuration holds.
+  /// Applies the events that the configuration includes and connects to its change log. Called once.
   void start(const PlatformConfig& config);
-  // Goes on at another address; the numbers continue. The old connection counts until the new one stands.
+  /// Applies the new events of the configuration and connects to its change log, which continues the same
+  /// sequence numbers. Events of the previous connection still count until the new one is established.
   void switch_address(const PlatformConfig& config);
 
  private:
-  rpc::Awaitable<void> follow(uint64_t life, std::string address);
-  void apply(const std::function<void(const std::function<void(const ChangeEvent&)>&)>& source);
-  void spawn(const std::string& address);
+  rpc::Awaitable<void> watch(uint64_t generation, std::string address);
+  rpc::Awaitable<bool> read_events(uint64_t generation, std::string address,
+                                   std::shared_ptr<rpc::ByteStream> stream);
+  void activate(uint64_t generation, const std::shared_ptr<rpc::ByteStream>& stream);
+  void check_silence(const std::weak_ptr<rpc::ByteStream>& watched);
+  ChangeLogReader::EventHandler event_handler();
+  void report_changes();
 
-  rpc::Dialer& net_;
+  rpc::Dialer& dialer_;
   Clock& clock_;
   Log& log_;
-  const EndpointsChanged told_;
-  std::unique_ptr<ChangeLogReader> sequence_;
-  EndpointSet list_;
-  std::shared_ptr<rpc::ByteStream> stream_;  // the connection that is followed now
-  uint64_t life_ = 0;                        // of the latest follower: an earlier one dials no more
-  uint64_t stands_ = 0;                      // of the latest with a connection: earlier ones are over
-  std::shared_ptr<EndpointWatcher*> self_;   // coroutines that outlive the log find it empty
+  const EndpointsChangedCallback on_endpoints_changed_;
+  std::unique_ptr<ChangeLogReader> reader_;  // from start() on
+  EndpointSet endpoints_;
+  bool has_unreported_changes_ = false;
+  std::shared_ptr<rpc::ByteStream> active_stream_;
+  TimeUs last_line_at_ = 0;             // when the last complete line came on the active stream
+  uint64_t connection_generation_ = 0;  // of the latest watch(): only it dials
+  uint64_t active_generation_ = 0;      // of the watch() that owns the active stream: earlier ones end
+  WeakPtrFactory<EndpointWatcher> weak_factory_{this};
 };
 
 }  // namespace sablelink::platform
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -27,7 +27,7 @@
 #include "nodes/content.h"
 #include "nodes/node_config.h"
 #include "platform/config.h"
-#include "platform/endpoints/endpoint_watcher.h"
+#include "platform/endpoints/change_log_reader.h"
 #include "platform/http_server.h"
 #include "platform/pages.h"
 #include "sql/shape.h"
@@ -259,7 +259,7 @@
   for (size_t i = 0; also && i < bytes.size(); ++i)
     also = b.feed(bytes.substr(i, 1),
                   [&](const platform::ChangeEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
-  check(good == also && whole == pieces && a.last() == b.last(), "events differ by their pieces");
+  check(good == also && whole == pieces && a.last_sequence_number() == b.last_sequence_number(), "events differ by their pieces");
 }
 
 std::vector<Target> targets() {
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -1,181 +1,152 @@
-// Endpoint lists from the platform's change log, in pieces, through disconnects and silence.
+// Watching the platform's change log through disconnects, silence and a change of its address.
 #include "platform/endpoints/endpoint_watcher.h"
 
 #include <gtest/gtest.h>
 
-#include <atomic>
-#include <chrono>
-#include <thread>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
 
 #include "platform/config.h"
-#include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
 #include "tests/platform/platform_config.h"
 #include "tests/platform/platform_harness.h"
 
 namespace sablelink::test {
 namespace {
 
-using platform::ChangeEvent;
-using platform::ChangeLogReader;
-
-TEST(PlatformChangeLog, EventsCountOnceAndInOrderFromAnyPieces) {
-  const std::string text = R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-1","health":"gone"}]}})"
-                           "\n4\n"
-                           R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-9","health":"gone"}]}})"
-                           "\n"
-                           R"({"seq":5,"invalidate":{}})"
-                           "\n5\n";
-  for (size_t step = 1; step < 90; step += 11) {
-    ChangeLogReader sequence(3, {});
-    std::vector<uint64_t> applied;
-    bool good = true;
-    for (size_t at = 0; at < text.size(); at += step)
-      good = good && sequence.feed(std::string_view(text).substr(at, step),
-                                   [&](const ChangeEvent& e) { applied.push_back(e.sequence_number); });
-    EXPECT_TRUE(good);
-    EXPECT_EQ(applied, (std::vector<uint64_t>{4, 5}));
-    EXPECT_EQ(sequence.last(), 5u);
-  }
-  // A gap, a number that is ahead, what can't be read, a line that never ends: ask again.
-  for (const std::string wrong : {"{\"seq\":9}\n", "7\n", "{\"seq\":4\n", "x\n", "{\"seq\":\"4\"}\n"}) {
-    ChangeLogReader sequence(3, {});
-    EXPECT_FALSE(sequence.feed(wrong, [](const ChangeEvent&) { FAIL(); })) << wrong;
-    EXPECT_EQ(sequence.last(), 3u);
-  }
-  ChangeLogReader sequence(3, {});
-  bool good = true;
-  size_t fed = 0;
-  for (; good && fed < 100; ++fed) good = sequence.feed(std::string(1 << 20, 'x'), [](const ChangeEvent&) {});
-  EXPECT_LT(fed, 20u);
-}
-
-// Bytes that never become a line are no sign of life. What the old address tells counts until the new one
-// stands.
-TEST(PlatformChangeLog, ATrickleIsSilenceAndTheOldOneCountsUntilTheNewStands) {
+// Bytes that never become a complete line don't count as heartbeats. Events from the old address are applied
+// until a connection to the new one is established.
+TEST(EndpointWatcher, PartialLinesAreSilenceAndOldConnectionCountsUntilNewOneIsEstablished) {
   sim::Account account;
   sim::World world(7, account);
   sim::Streams streams(world, {});
-  const auto server = sim::Actor::make(world, "log"), gateway = sim::Actor::make(world, "gateway");
-  SimDialer net(world, streams, gateway);
-  int asked = 0;
-  bool trickles = true, drained = false;
+  const auto server = sim::Actor::make(world, "log");
+  const auto gateway = sim::Actor::make(world, "gateway");
+  SimDialer dialer(world, streams, gateway);
+  int connections = 0;
+  bool sends_partial_lines = true;
+  bool sends_event = false;
   const std::string event = R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-1","health":"gone"}]}})"
                             "\n";
-  streams.listen("10.2.0.1:8500", server, [&](std::shared_ptr<rpc::ByteStream> s) -> rpc::Awaitable<void> {
-    ++asked;
-    for (int i = 0; i < 60 && trickles; ++i) {
-      const std::string sign = " ";
-      const bool sent = co_await rpc::write_all(*s, sign);
-      if (!sent) co_return;
-      co_await pause(*server, 500 * kMs);
-    }
-    for (int i = 0; i < 20; ++i) {
-      const std::string line = drained ? event : "3\n";
-      const bool sent = co_await rpc::write_all(*s, line);
-      if (!sent) co_return;
-      co_await pause(*server, 500 * kMs);
-    }
-  });
+  streams.listen("10.2.0.1:8500", server,
+                 [&](std::shared_ptr<rpc::ByteStream> stream) -> rpc::Awaitable<void> {
+                   ++connections;
+                   for (int i = 0; i < 60 && sends_partial_lines; ++i) {
+                     const std::string partial_line = " ";
+                     const bool sent = co_await rpc::write_all(*stream, partial_line);
+                     if (!sent) co_return;
+                     co_await pause(*server, 500 * kMs);
+                   }
+                   for (int i = 0; i < 20; ++i) {
+                     const std::string line = sends_event ? event : "3\n";
+                     const bool sent = co_await rpc::write_all(*stream, line);
+                     if (!sent) co_return;
+                     co_await pause(*server, 500 * kMs);
+                   }
+                 });
   NullLog log;
-  std::vector<config::EngineConfig> nodes;
+  std::vector<config::EngineConfig> endpoints;
   platform::PlatformConfig config = platform::parse_config(kConfig);
-  auto changes = std::make_unique<platform::EndpointWatcher>(
-      net, *gateway, log, [&](const std::vector<config::EngineConfig>& told) { nodes = told; });
-  changes->start(config);
+  auto watcher = std::make_unique<platform::EndpointWatcher>(
+      dialer, *gateway, log, [&](const std::vector<config::EngineConfig>& list) { endpoints = list; });
+  watcher->start(config);
   world.settle();
   world.run_until(world.now() + 5 * kSecond);
-  EXPECT_GE(asked, 2);
-  trickles = false;
+  EXPECT_GE(connections, 2);
+  sends_partial_lines = false;
   world.run_until(world.now() + 2500 * kMs);
-  EXPECT_EQ(nodes.size(), 2u);
-  config.changelog = "10.2.0.2:8500";  // nobody is there yet
-  changes->switch_address(config);
-  drained = true;
+  EXPECT_EQ(endpoints.size(), 2u);
+  config.changelog = "10.2.0.2:8500";  // where nobody listens yet
+  watcher->switch_address(config);
+  sends_event = true;
   world.run_until(world.now() + 2 * kSecond);
-  EXPECT_EQ(nodes.size(), 1u);
+  EXPECT_EQ(endpoints.size(), 1u);
   streams.unlisten("10.2.0.1:8500");
-  changes.reset();
+  watcher.reset();
   while (world.step()) continue;
 }
 
-// The log breaks off within an event, tells events twice, stops and moves: the list is whole all the same.
-TEST(PlatformChangeLog, IsFollowedThroughBreaksSilenceAndAMove) {
+// The log disconnects within an event, repeats events, falls silent and moves to a new address.
+TEST(EndpointWatcher, ListStaysCompleteThroughDisconnectsSilenceAndNewAddress) {
   sim::Account account;
   sim::World world(7, account);
   sim::Streams streams(world, {});
-  const auto server = sim::Actor::make(world, "log"), gateway = sim::Actor::make(world, "gateway");
-  SimDialer net(world, streams, gateway);
+  const auto server = sim::Actor::make(world, "log");
+  const auto gateway = sim::Actor::make(world, "gateway");
+  SimDialer dialer(world, streams, gateway);
   std::vector<std::string> events;
-  const auto say = [&](int seq) {
-    events.push_back(R"({"seq":)" + std::to_string(seq) + R"(,"fleet":{"whole":false,"hosts":[{"host":"n)" +
-                     std::to_string(seq) + R"(","dial":"1.2.3.4:5","health":"ready"}]}})" + "\n");
+  const auto append_event = [&](int sequence_number) {
+    events.push_back(R"({"seq":)" + std::to_string(sequence_number) +
+                     R"(,"fleet":{"whole":false,"hosts":[{"host":"n)" + std::to_string(sequence_number) +
+                     R"(","dial":"1.2.3.4:5","health":"ready"}]}})" + "\n");
   };
-  enum class Mood { kCutsOff, kTwice, kSilent, kFair } mood = Mood::kCutsOff;
-  int asked = 0, asked_new = 0;
-  const auto serve = [&](std::shared_ptr<rpc::ByteStream> s) -> rpc::Awaitable<void> {
-    ++asked;
-    const std::optional<std::string> ask = co_await s->read(100);
-    if (!ask || !ask->starts_with("since ")) co_return;
-    const size_t since = std::stoul(ask->substr(6));
+  enum class Behaviour { kCutOffEvent, kRepeatEvents, kSilent, kNormal };
+  Behaviour behaviour = Behaviour::kCutOffEvent;
+  int connections = 0;
+  int new_connections = 0;
+  const auto serve = [&](std::shared_ptr<rpc::ByteStream> stream) -> rpc::Awaitable<void> {
+    ++connections;
+    const std::optional<std::string> request = co_await stream->read(100);
+    if (!request || !request->starts_with("since ")) co_return;
+    const size_t since = std::stoul(request->substr(6));
     std::string text;
     for (size_t i = since - 3; i < events.size(); ++i) {
       text += events[i];
-      if (mood == Mood::kTwice) text += events[i];
+      if (behaviour == Behaviour::kRepeatEvents) text += events[i];
     }
-    if (mood == Mood::kCutsOff) text.resize(text.size() - std::min<size_t>(text.size(), 10));
-    if (mood != Mood::kSilent) co_await rpc::write_all(*s, text);
-    if (mood == Mood::kCutsOff) co_return;
-    for (int beats = 0; mood != Mood::kSilent && beats < 30; ++beats) {
-      co_await rpc::write_all(*s, std::to_string(3 + events.size()) + "\n");
+    if (behaviour == Behaviour::kCutOffEvent) text.resize(text.size() - std::min<size_t>(text.size(), 10));
+    if (behaviour != Behaviour::kSilent) co_await rpc::write_all(*stream, text);
+    if (behaviour == Behaviour::kCutOffEvent) co_return;
+    for (int heartbeats = 0; behaviour != Behaviour::kSilent && heartbeats < 30; ++heartbeats) {
+      co_await rpc::write_all(*stream, std::to_string(3 + events.size()) + "\n");
       co_await pause(*server, kSecond);
     }
     co_await pause(*server, 60 * kSecond);
   };
   streams.listen("10.2.0.1:8500", server, serve);
-  streams.listen("10.2.0.2:8500", server, [&](auto s) -> rpc::Awaitable<void> {
-    ++asked_new;
-    co_await serve(std::move(s));
+  streams.listen("10.2.0.2:8500", server, [&](auto stream) -> rpc::Awaitable<void> {
+    ++new_connections;
+    co_await serve(std::move(stream));
   });
   NullLog log;
-  std::vector<config::EngineConfig> nodes;
+  std::vector<config::EngineConfig> endpoints;
   platform::PlatformConfig config = platform::parse_config(kConfig);
-  auto follow = std::make_unique<platform::EndpointWatcher>(
-      net, *gateway, log, [&](const std::vector<config::EngineConfig>& told) { nodes = told; });
-  auto& changes = *follow;
-  changes.start(config);
-  EXPECT_EQ(nodes.size(), 2u);
-  say(4);
+  auto watcher = std::make_unique<platform::EndpointWatcher>(
+      dialer, *gateway, log, [&](const std::vector<config::EngineConfig>& list) { endpoints = list; });
+  watcher->start(config);
+  EXPECT_EQ(endpoints.size(), 2u);
+  append_event(4);
   world.settle();
   world.run_until(world.now() + kSecond);
-  EXPECT_EQ(nodes.size(), 2u);  // only ever part of the event
-  EXPECT_GE(asked, 2);
-  mood = Mood::kTwice;
+  EXPECT_EQ(endpoints.size(), 2u);  // only ever a part of the event
+  EXPECT_GE(connections, 2);
+  behaviour = Behaviour::kRepeatEvents;
   world.run_until(world.now() + kSecond);
-  EXPECT_EQ(nodes.size(), 3u);
-  // A heartbeat tells of an event that never came.
-  say(5);
+  EXPECT_EQ(endpoints.size(), 3u);
+  // A heartbeat names an event that was not delivered.
+  append_event(5);
   world.run_until(world.now() + 3 * kSecond);
-  EXPECT_EQ(nodes.size(), 4u);
-  // Silence on a connection that stands.
-  mood = Mood::kSilent;
+  EXPECT_EQ(endpoints.size(), 4u);
+  // Silence on an open connection.
+  behaviour = Behaviour::kSilent;
   world.run_until(world.now() + 3 * kSecond);
-  say(6);
-  const int before = asked;
-  mood = Mood::kFair;
+  append_event(6);
+  const int connections_before = connections;
+  behaviour = Behaviour::kNormal;
   world.run_until(world.now() + 3 * kSecond);
-  EXPECT_GT(asked, before);
-  EXPECT_EQ(nodes.size(), 5u);
-  say(7);
+  EXPECT_GT(connections, connections_before);
+  EXPECT_EQ(endpoints.size(), 5u);
+  append_event(7);
   config.changelog = "10.2.0.2:8500";
-  changes.switch_address(config);
+  watcher->switch_address(config);
   world.run_until(world.now() + kSecond);
-  EXPECT_GE(asked_new, 1);
-  EXPECT_EQ(nodes.size(), 6u);
+  EXPECT_GE(new_connections, 1);
+  EXPECT_EQ(endpoints.size(), 6u);
   streams.unlisten("10.2.0.1:8500");
   streams.unlisten("10.2.0.2:8500");
-  follow.reset();
-  while (world.step()) continue;  // whoever still waits hears of its end
+  watcher.reset();
+  while (world.step()) continue;  // pending coroutines end
 }
 
 }  // namespace
