--- a/src/membership/endpoint_registry.cpp
+++ b/src/membership/endpoint_registry.cpp
@@ -5,42 +5,61 @@
 
 namespace sablelink::membership {
 namespace {
-const std::string kNone;
+
+const std::string kNoAddress;
+
+Endpoint make_endpoint(EngineId id, const config::EngineConfig& engine) {
+  Endpoint endpoint;
+  endpoint.engine = id;
+  endpoint.state = engine.state;
+  endpoint.cell = engine.cell;
+  endpoint.zone = engine.zone;
+  endpoint.engine_type = engine.engine_type;
+  endpoint.size = engine.size;
+  endpoint.started_at = engine.started_at;
+  return endpoint;
 }
 
-void EndpointRegistry::replace(const std::vector<config::EngineConfig>& nodes) {
-  const std::vector<Endpoint> before = std::move(entries_);
-  entries_.clear();
-  for (const Endpoint& e : before) known_[e.engine].listed = false;
-  for (const config::EngineConfig& n : nodes) {
-    const std::string key = n.name + "@" + n.address;
-    EngineId& id = ids_[key];
-    if (id == 0) id = ++last_;
-    known_[id] = {key, n.address, true};
-    Endpoint e;
-    e.engine = id;
-    e.state = n.state;
-    e.cell = n.cell;
-    e.zone = n.zone;
-    e.engine_type = n.engine_type;
-    e.size = n.size;
-    e.started_at = n.started_at;
-    entries_.push_back(e);
+}  // namespace
+
+void EndpointRegistry::replace(const std::vector<config::EngineConfig>& engines) {
+  const std::vector<Endpoint> previous = std::exchange(endpoints_, {});
+  for (const Endpoint& endpoint : previous) known_engines_[endpoint.engine].is_listed = false;
+  for (const config::EngineConfig& engine : engines) {
+    endpoints_.push_back(make_endpoint(add_engine(engine), engine));
+  }
+  for (const Endpoint& endpoint : previous) {
+    if (!known_engines_[endpoint.engine].is_listed) removed_.push_back(endpoint.engine);
   }
-  for (const Endpoint& e : before)
-    if (!known_[e.engine].listed) left_.push_back(e.engine);
-  for (; left_.size() > kLeftKept; left_.pop_front()) {
-    const auto it = known_.find(left_.front());
-    const bool again = std::find(left_.begin() + 1, left_.end(), left_.front()) != left_.end();
-    if (it == known_.end() || it->second.listed || again) continue;
-    ids_.erase(it->second.key);
-    known_.erase(it);
+  while (removed_.size() > kMaxRemovedEngines) forget_oldest_removed();
+}
+
+// Gives the engine its identifier and marks it as listed.
+EngineId EndpointRegistry::add_engine(const config::EngineConfig& engine) {
+  const std::string key = engine.name + "@" + engine.address;
+  EngineId& id = ids_[key];
+  if (id == 0) {
+    ++last_id_;
+    id = last_id_;
   }
+  known_engines_[id] = {key, engine.address, true};
+  return id;
+}
+
+void EndpointRegistry::forget_oldest_removed() {
+  const EngineId oldest = removed_.front();
+  removed_.pop_front();
+  const auto it = known_engines_.find(oldest);
+  if (it == known_engines_.end() || it->second.is_listed) return;
+  const bool was_removed_again = std::find(removed_.begin(), removed_.end(), oldest) != removed_.end();
+  if (was_removed_again) return;
+  ids_.erase(it->second.key);
+  known_engines_.erase(it);
 }
 
 const std::string& EndpointRegistry::address(EngineId engine) const {
-  const auto it = known_.find(engine);
-  return it == known_.end() ? kNone : it->second.address;
+  const auto it = known_engines_.find(engine);
+  return it == known_engines_.end() ? kNoAddress : it->second.address;
 }
 
 }  // namespace sablelink::membership
--- a/src/membership/endpoint_registry.h
+++ b/src/membership/endpoint_registry.h
@@ -1,8 +1,7 @@
-// The nodes that a gateway knows: their ids, addresses and entries. Pure: what changed is for the caller to
-// pass on. Ids are given in the order in which names first appear and are never used for another node. Of
-// nodes that left, the last kLeftKept are remembered, so that a list that changes for ever doesn't grow.
+// Identifiers and addresses of the engines that a gateway knows.
 #pragma once
 
+#include <cstddef>
 #include <deque>
 #include <map>
 #include <string>
@@ -14,30 +13,40 @@
 
 namespace sablelink::membership {
 
+/// Maps the configured engines to endpoints with stable identifiers. Identifiers are given in the order in
+/// which engines first appear and are never given to another engine. Pure: the caller notifies others of a
+/// change.
 class EndpointRegistry {
  public:
-  static constexpr size_t kLeftKept = 256;  // far more than leave while an attempt is out
-
-  // Takes a whole list over. A node whose address has changed is another node: it gets a new id.
-  void replace(const std::vector<config::EngineConfig>& nodes);
-
-  // The list now, as the decision module takes it.
-  const std::vector<Endpoint>& endpoints() const { return entries_; }
-  // Empty for ids never given, or forgotten. Addresses of nodes that left stay known for a while, as attempts
-  // may still be out there.
+  /// Removed engines whose addresses and identifiers are remembered; far more than are removed while an
+  /// attempt runs. Bounds the memory of a gateway whose engines come and go for ever.
+  static constexpr size_t kMaxRemovedEngines = 256;
+
+  /// Replaces the endpoint list by a complete one. An engine whose address has changed is another engine and
+  /// gets a new identifier.
+  void replace(const std::vector<config::EngineConfig>& engines);
+
+  /// The current list, in the order of the last replace().
+  const std::vector<Endpoint>& endpoints() const { return endpoints_; }
+  /// "host:port"; also of a removed engine while it is remembered, as attempts may still run there. Empty for
+  /// an identifier that was never given or is forgotten.
   const std::string& address(EngineId engine) const;
 
  private:
-  struct Known {
-    std::string key;  // name and address
+  struct KnownEngine {
+    std::string key;  // of ids_
     std::string address;
-    bool listed = false;
+    bool is_listed = false;
   };
-  std::map<std::string, EngineId> ids_;  // by key
-  std::map<EngineId, Known> known_;
-  std::deque<EngineId> left_;  // in the order of their leaving; one may be listed again
-  EngineId last_ = 0;
-  std::vector<Endpoint> entries_;
+
+  EngineId add_engine(const config::EngineConfig& engine);
+  void forget_oldest_removed();
+
+  std::map<std::string, EngineId> ids_;  // by name and address
+  std::map<EngineId, KnownEngine> known_engines_;
+  std::deque<EngineId> removed_;  // in the order of removal; one may be listed again, or stand here twice
+  EngineId last_id_ = 0;
+  std::vector<Endpoint> endpoints_;
 };
 
 }  // namespace sablelink::membership
--- a/tests/membership/endpoint_registry_test.cpp
+++ b/tests/membership/endpoint_registry_test.cpp
@@ -3,35 +3,35 @@
 
 #include <gtest/gtest.h>
 
+#include <set>
 #include <string>
 #include <vector>
 
 namespace sablelink::test {
 namespace {
 
-// On a long day nodes come and go for ever.
-TEST(PlatformDirectory, ForgetsTheNodesThatLeftLongAgo) {
-  membership::EndpointRegistry directory;
-  config::EngineConfig stays;
-  stays.name = "stays";
-  stays.address = "10.0.0.1:1";
+TEST(EndpointRegistry, EnginesRemovedLongAgoAreForgotten) {
+  membership::EndpointRegistry registry;
+  config::EngineConfig permanent;
+  permanent.name = "permanent";
+  permanent.address = "10.0.0.1:1";
   std::set<EngineId> ids;
-  EngineId first = 0;
+  EngineId permanent_id = 0;
   for (int i = 0; i < 2'000; ++i) {
-    config::EngineConfig passing;
-    passing.name = "n" + std::to_string(i);
-    passing.address = "10.0.0.2:1";
-    directory.replace({stays, passing});
-    EXPECT_TRUE(ids.insert(directory.endpoints()[1].engine).second) << "an id is given twice";
-    if (i == 0) first = directory.endpoints()[0].engine;
-    EXPECT_EQ(directory.endpoints()[0].engine, first);
-    EXPECT_EQ(directory.address(directory.endpoints()[1].engine), passing.address);
+    config::EngineConfig transient;
+    transient.name = "n" + std::to_string(i);
+    transient.address = "10.0.0.2:1";
+    registry.replace({permanent, transient});
+    EXPECT_TRUE(ids.insert(registry.endpoints()[1].engine).second) << "an id was given twice";
+    if (i == 0) permanent_id = registry.endpoints()[0].engine;
+    EXPECT_EQ(registry.endpoints()[0].engine, permanent_id);
+    EXPECT_EQ(registry.address(registry.endpoints()[1].engine), transient.address);
   }
   size_t remembered = 0;
-  for (const EngineId id : ids) remembered += !directory.address(id).empty();
-  EXPECT_LE(remembered, membership::EndpointRegistry::kLeftKept + 1);
+  for (const EngineId id : ids) remembered += !registry.address(id).empty();
+  EXPECT_LE(remembered, membership::EndpointRegistry::kMaxRemovedEngines + 1);
   EXPECT_GE(remembered, 200u);
-  EXPECT_EQ(directory.address(first), stays.address);
+  EXPECT_EQ(registry.address(permanent_id), permanent.address);
 }
 
 }  // namespace
