--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -4,186 +4,267 @@
 #include <bit>
 #include <cmath>
 #include <limits>
+#include <utility>
 
 #include "workload/settings_parser.h"
 
 namespace sablelink::simulator_adapter {
 namespace {
 
-constexpr size_t kEntryBytes = 25;
-constexpr uint8_t kHasCost = 1;
-constexpr uint8_t kClientRepeat = 2;
-constexpr uint8_t kWrites = 4;
-constexpr int kWorkShift = 12;       // Stats: milliseconds of work x 4096 ...
-constexpr double kMemoryUnitMb = 4;  // ... plus memory in units of 4 MB
-constexpr size_t kMaxText = 65535;
+constexpr size_t kEndpointBytes = 25;
+constexpr size_t kMaxTextBytes = 65535;
+
+// The table group comes as a float; a larger value can't be a group's number.
+constexpr float kMaxTableGroup = 1e9f;
+
+// Bits of a request's Opts.
+constexpr uint8_t kHasCostEstimate = 1;
+constexpr uint8_t kIsClientRetry = 2;
+constexpr uint8_t kIsWrite = 4;
+
+// Stats holds the work in milliseconds above these bits and the memory below them.
+constexpr int kStatsMemoryBits = 12;
+constexpr uint32_t kStatsMemoryMask = (1u << kStatsMemoryBits) - 1;
+constexpr double kStatsMemoryUnitMb = 4;
+constexpr double kUsPerMs = 1000;
+
+enum class WireEndpointState : uint8_t { kGone = 0, kReady = 1, kDraining = 2 };
+
+enum class WireEndpointUpdateKind : uint8_t { kDelta = 0, kFull = 1, kCached = 2, kFailed = 3 };
+
+enum class WireProgressKind : uint8_t { kProgress = 1, kSpill = 2, kWaiting = 3 };
+
+enum class WireOutcome : uint16_t {
+  kOk = 100,
+  kError = 301,
+  kOverloaded = 302,
+  kTimeout = 303,
+  kConnectFailed = 304,
+  kReset = 305,
+  kCancelled = 306,
+  kSuperseded = 307,
+};
 
 uint32_t clamp_u32(TimeUs value) {
   return static_cast<uint32_t>(std::clamp<TimeUs>(value, 0, std::numeric_limits<uint32_t>::max()));
 }
 
-std::string unknown(const char* what, int value) {
-  return std::string("wire: unknown ") + what + " " + std::to_string(value);
+ProtocolError unknown_value(const char* what, int value) {
+  return ProtocolError(std::string("wire: unknown ") + what + " " + std::to_string(value));
+}
+
+EndpointState read_endpoint_state(FrameReader& in) {
+  const uint8_t value = in.u8();
+  switch (static_cast<WireEndpointState>(value)) {
+    case WireEndpointState::kGone:
+      return EndpointState::kRemoved;
+    case WireEndpointState::kReady:
+      return EndpointState::kReady;
+    case WireEndpointState::kDraining:
+      return EndpointState::kDraining;
+  }
+  throw unknown_value("engine state", value);
+}
+
+ProgressKind read_progress_kind(FrameReader& in) {
+  const uint8_t value = in.u8();
+  switch (static_cast<WireProgressKind>(value)) {
+    case WireProgressKind::kProgress:
+      return ProgressKind::kProgress;
+    case WireProgressKind::kSpill:
+      return ProgressKind::kSpill;
+    case WireProgressKind::kWaiting:
+      return ProgressKind::kWaiting;
+  }
+  throw unknown_value("kind of progress update", value);
 }
 
 }  // namespace
 
-BatchHeader read_header(std::string_view bytes) {
+BatchHeader read_batch_header(std::string_view bytes) {
   FrameReader in(bytes);
   BatchHeader header;
   header.now = static_cast<TimeUs>(in.u64());
   header.body_bytes = in.u32();
-  if (header.body_bytes < 4) throw ProtocolError("wire: batch length leaves no room for the record count");
+  if (header.body_bytes < sizeof(uint32_t)) {
+    throw ProtocolError("wire: batch length leaves no room for the record count");
+  }
   return header;
 }
 
-uint64_t FrameReader::whole(int width) {
-  const std::string_view part = bytes(width);
+uint64_t FrameReader::unsigned_integer(int width_bytes) {
+  const std::string_view part = bytes(width_bytes);
   uint64_t value = 0;
-  for (int i = width - 1; i >= 0; --i) value = value << 8 | static_cast<uint8_t>(part[i]);
+  for (int i = width_bytes - 1; i >= 0; --i) value = value << 8 | static_cast<uint8_t>(part[i]);
   return value;
 }
 
 float FrameReader::f32() { return std::bit_cast<float>(u32()); }
 
-EngineId FrameReader::engine() {
+EngineId FrameReader::engine_id() {
   EngineId id = 0;
   for (int i = 0; i < 4; ++i) id = id << 8 | u8();
   return id << 16 | u16();
 }
 
-std::string_view FrameReader::bytes(size_t n) {
-  if (rest_.size() < n) throw ProtocolError("wire: truncated record");
-  const std::string_view part = rest_.substr(0, n);
-  rest_.remove_prefix(n);
+std::string_view FrameReader::bytes(size_t count) {
+  if (remaining_.size() < count) throw ProtocolError("wire: truncated record");
+  const std::string_view part = remaining_.substr(0, count);
+  remaining_.remove_prefix(count);
   return part;
 }
 
-std::vector<Endpoint> read_entries(FrameReader& in) {
-  const uint32_t n = in.u32();
-  FrameReader lines(in.bytes(size_t{n} * kEntryBytes));
-  std::vector<Endpoint> entries(n);
-  for (Endpoint& e : entries) {
-    e.cell = lines.u16();
-    const uint8_t state = lines.u8();
-    if (state > 2) throw ProtocolError(unknown("engine state", state));
-    e.state = state == 1   ? EndpointState::kReady
-              : state == 2 ? EndpointState::kDraining
-                           : EndpointState::kRemoved;
-    e.engine = lines.engine();
-    e.size = lines.f32();
-    e.zone = lines.u16();
-    e.started_at = static_cast<TimeUs>(lines.u64());
-    e.engine_type = lines.u16();
+std::vector<Endpoint> read_endpoints(FrameReader& in) {
+  const uint32_t count = in.u32();
+  FrameReader entries(in.bytes(size_t{count} * kEndpointBytes));
+  std::vector<Endpoint> endpoints(count);
+  for (Endpoint& endpoint : endpoints) {
+    endpoint.cell = entries.u16();
+    endpoint.state = read_endpoint_state(entries);
+    endpoint.engine = entries.engine_id();
+    endpoint.size = entries.f32();
+    endpoint.zone = entries.u16();
+    endpoint.started_at = static_cast<TimeUs>(entries.u64());
+    endpoint.engine_type = entries.u16();
   }
-  return entries;
+  return endpoints;
+}
+
+EndpointUpdateKind read_endpoint_update_kind(FrameReader& in) {
+  const uint8_t value = in.u8();
+  switch (static_cast<WireEndpointUpdateKind>(value)) {
+    case WireEndpointUpdateKind::kDelta:
+      return EndpointUpdateKind::kDelta;
+    case WireEndpointUpdateKind::kFull:
+      return EndpointUpdateKind::kFull;
+    case WireEndpointUpdateKind::kCached:
+      return EndpointUpdateKind::kCached;
+    case WireEndpointUpdateKind::kFailed:
+      return EndpointUpdateKind::kFailed;
+  }
+  throw unknown_value("kind of endpoint update", value);
 }
 
 QueryRequest read_request(FrameReader& in) {
-  QueryRequest r;
-  r.id = in.u32();
-  r.class_index = in.u16();
-  r.tenant = in.u16();
-  r.key = in.u64();
-  r.deadline = static_cast<TimeUs>(in.u64());
-  const uint32_t cost = in.u32();
-  const float need = in.f32();
-  const float group = in.f32();
-  const uint8_t opts = in.u8();
-  if ((opts & kHasCost) != 0) r.estimated_cost_us = cost;
-  r.estimated_memory_mb = std::isfinite(need) ? need : 0;
-  r.table_group = std::isfinite(group) && std::abs(group) < 1e9f ? std::lround(group) : -1;
-  r.is_client_retry = (opts & kClientRepeat) != 0;
-  r.is_write = (opts & kWrites) != 0;
-  return r;
+  QueryRequest request;
+  request.id = in.u32();
+  request.class_index = in.u16();
+  request.tenant = in.u16();
+  request.key = in.u64();
+  request.deadline = static_cast<TimeUs>(in.u64());
+  const uint32_t estimated_cost_us = in.u32();
+  const float estimated_memory_mb = in.f32();
+  const float table_group = in.f32();
+  const uint8_t options = in.u8();
+  if ((options & kHasCostEstimate) != 0) request.estimated_cost_us = estimated_cost_us;
+  if (std::isfinite(estimated_memory_mb)) request.estimated_memory_mb = estimated_memory_mb;
+  if (std::isfinite(table_group) && std::abs(table_group) < kMaxTableGroup) {
+    request.table_group = std::lround(table_group);
+  }
+  request.is_client_retry = (options & kIsClientRetry) != 0;
+  request.is_write = (options & kIsWrite) != 0;
+  return request;
 }
 
 Outcome read_outcome(FrameReader& in) {
   const uint16_t code = in.u16();
-  switch (code) {
-    case 100:
+  switch (static_cast<WireOutcome>(code)) {
+    case WireOutcome::kOk:
       return Outcome::kOk;
-    case 301:
+    case WireOutcome::kError:
       return Outcome::kError;
-    case 302:
+    case WireOutcome::kOverloaded:
       return Outcome::kOverloaded;
-    case 303:
+    case WireOutcome::kTimeout:
       return Outcome::kTimeout;
-    case 304:
+    case WireOutcome::kConnectFailed:
       return Outcome::kConnectFailed;
-    case 305:
+    case WireOutcome::kReset:
       return Outcome::kReset;
-    case 306:
+    case WireOutcome::kCancelled:
       return Outcome::kCancelled;
-    case 307:
+    case WireOutcome::kSuperseded:
       return Outcome::kSuperseded;
-    default:
-      throw ProtocolError(unknown("outcome", code));
   }
+  throw unknown_value("outcome", code);
 }
 
-std::optional<LoadReport> read_report(FrameReader& in, const std::vector<std::string>& fields) {
-  const uint8_t n = in.u8();
-  if (n == 0) return std::nullopt;
+std::optional<LoadReport> read_load_report(FrameReader& in,
+                                           const std::vector<std::string>& load_report_fields) {
+  const size_t count = in.u8();
+  if (count == 0) return std::nullopt;
   LoadReport report;
-  for (int i = 0; i < n; ++i) {
+  for (size_t i = 0; i < count; ++i) {
     const float value = in.f32();
-    if (i >= static_cast<int>(fields.size()) || !std::isfinite(value)) continue;
-    set_load_report_value(report, fields[i], value);
+    if (i >= load_report_fields.size() || !std::isfinite(value)) continue;
+    set_load_report_value(report, load_report_fields[i], value);
   }
   return report;
 }
 
-AttemptCompletion read_attempt_end(FrameReader& in, bool tells_cost, const std::vector<std::string>& fields) {
-  AttemptCompletion end;
-  end.id = in.u32();
-  end.attempt = in.u8();
-  end.engine = in.engine();
-  end.outcome = read_outcome(in);
-  end.duration_us = in.u32();
-  end.request_finished = in.u8() != 0;
+AttemptCompletion read_attempt_completion(FrameReader& in, bool reports_cost,
+                                          const std::vector<std::string>& load_report_fields) {
+  AttemptCompletion completion;
+  completion.id = in.u32();
+  completion.attempt = in.u8();
+  completion.engine = in.engine_id();
+  completion.outcome = read_outcome(in);
+  completion.duration_us = in.u32();
+  completion.request_finished = in.u8() != 0;
   const uint32_t stats = in.u32();
-  if (tells_cost && end.outcome == Outcome::kOk && stats != 0) {
-    end.work_us = static_cast<double>(stats >> kWorkShift) * 1000;
-    end.memory_used_mb = (stats & ((1u << kWorkShift) - 1)) * kMemoryUnitMb;
+  if (reports_cost && completion.outcome == Outcome::kOk && stats != 0) {
+    completion.work_us = static_cast<double>(stats >> kStatsMemoryBits) * kUsPerMs;
+    completion.memory_used_mb = (stats & kStatsMemoryMask) * kStatsMemoryUnitMb;
   }
-  end.load_report = read_report(in, fields);
-  return end;
+  completion.load_report = read_load_report(in, load_report_fields);
+  return completion;
 }
 
 ProgressUpdate read_progress(FrameReader& in) {
-  ProgressUpdate note;
-  note.id = in.u32();
-  note.attempt = in.u8();
-  note.engine = in.engine();
-  const uint8_t kind = in.u8();
-  if (kind < 1 || kind > 3) throw ProtocolError(unknown("kind of note", kind));
-  note.kind = kind == 1 ? ProgressKind::kProgress : kind == 2 ? ProgressKind::kSpill : ProgressKind::kWaiting;
-  note.value = in.f32();
-  return note;
+  ProgressUpdate update;
+  update.id = in.u32();
+  update.attempt = in.u8();
+  update.engine = in.engine_id();
+  update.kind = read_progress_kind(in);
+  update.value = in.f32();
+  return update;
 }
 
+// Codes of the records in a reply; beside each the wire's name.
+enum class FrameWriter::ActionCode : uint8_t {
+  kWatchEndpoints = 1,         // listen
+  kSetExecutionHints = 2,      // terms
+  kSendAttempt = 3,            // send
+  kFail = 4,                   // end_failed
+  kReject = 5,                 // not_now
+  kSelectInstance = 6,         // context
+  kCheckHealth = 7,            // poll
+  kFetchEndpoints = 8,         // list_all
+  kSetTimer = 9,               // notify_me
+  kLog = 10,                   // trace
+  kCancelAttempt = 11,         // abandon
+  kCloseIdleConnections = 13,  // shut_idle
+  kSendGossip = 14,            // broadcast_to
+};
+
 std::string FrameWriter::take_frame() {
-  std::string records;
-  records.swap(body_);
-  written_for_ = -1;
+  const std::string records = std::exchange(records_, {});
+  context_instance_.reset();
   put(records.size(), 4);
-  std::string frame;
-  frame.swap(body_);
-  return frame + records;
+  return std::exchange(records_, {}) + records;
 }
 
-void FrameWriter::start(uint8_t code) {
-  if (written_for_ != instance_) {
-    put(6, 1);
+void FrameWriter::begin_record(ActionCode code) {
+  if (context_instance_ != instance_) {
+    put(static_cast<uint8_t>(ActionCode::kSelectInstance), 1);
     put(instance_, 2);
-    written_for_ = instance_;
+    context_instance_ = instance_;
   }
-  put(code, 1);
+  put(static_cast<uint8_t>(code), 1);
 }
 
-void FrameWriter::put(uint64_t value, int width) {
-  for (int i = 0; i < width; ++i) body_ += static_cast<char>(value >> (8 * i) & 0xff);
+void FrameWriter::put(uint64_t value, int width_bytes) {
+  for (int i = 0; i < width_bytes; ++i) records_ += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
 void FrameWriter::put_engine(EngineId engine) {
@@ -192,73 +273,73 @@
 }
 
 void FrameWriter::put_text(std::string_view text) {
-  text = text.substr(0, kMaxText);
+  text = text.substr(0, kMaxTextBytes);
   put(text.size(), 2);
-  body_ += text;
+  records_ += text;
 }
 
 void FrameWriter::set_execution_hints(RequestId id, int priority, double grant_mb) {
-  start(2);
+  begin_record(ActionCode::kSetExecutionHints);
   put(id, 4);
   put(priority, 1);
   put(std::bit_cast<uint32_t>(static_cast<float>(grant_mb)), 4);
 }
 
 void FrameWriter::send_attempt(RequestId id, EngineId engine, TimeUs timeout_us) {
-  start(3);
+  begin_record(ActionCode::kSendAttempt);
   put(id, 4);
   put_engine(engine);
   put(clamp_u32(timeout_us), 4);
 }
 
 void FrameWriter::cancel_attempt(RequestId id, int attempt) {
-  start(11);
+  begin_record(ActionCode::kCancelAttempt);
   put(id, 4);
   put(attempt, 1);
 }
 
 void FrameWriter::reject(RequestId id, TimeUs retry_after_us) {
-  start(5);
+  begin_record(ActionCode::kReject);
   put(id, 4);
   put(clamp_u32(retry_after_us), 4);
 }
 
 void FrameWriter::fail(RequestId id) {
-  start(4);
+  begin_record(ActionCode::kFail);
   put(id, 4);
 }
 
 void FrameWriter::set_timer(TimeUs delay_us, uint32_t token) {
-  start(9);
+  begin_record(ActionCode::kSetTimer);
   put(clamp_u32(delay_us), 4);
   put(token, 4);
 }
 
 void FrameWriter::watch_endpoints(bool on) {
-  start(1);
+  begin_record(ActionCode::kWatchEndpoints);
   put(on ? 1 : 0, 1);
 }
 
-void FrameWriter::fetch_endpoints() { start(8); }
+void FrameWriter::fetch_endpoints() { begin_record(ActionCode::kFetchEndpoints); }
 
 void FrameWriter::check_health(EngineId engine) {
-  start(7);
+  begin_record(ActionCode::kCheckHealth);
   put_engine(engine);
 }
 
 void FrameWriter::close_idle_connections(EngineId engine) {
-  start(13);
+  begin_record(ActionCode::kCloseIdleConnections);
   put_engine(engine);
 }
 
 void FrameWriter::send_gossip(uint32_t peer, std::string_view bytes) {
-  start(14);
+  begin_record(ActionCode::kSendGossip);
   put(peer, 4);
   put_text(bytes);
 }
 
 void FrameWriter::log(std::string_view line) {
-  start(10);
+  begin_record(ActionCode::kLog);
   put_text(line);
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,47 +1,51 @@
-// Speaks the simulator's wire on standard input and output until the input ends.
+// The simulator's adapter: reads batches from standard input and writes a reply to each on standard output,
+// until the input ends. Exit code 0 at the end of input, 1 after an error.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
 #include <string>
 
+#include "simulator_adapter/codec.h"
 #include "simulator_adapter/simulator_host.h"
 
 namespace {
 
-constexpr size_t kChunkBytes = size_t{1} << 20;
-
-// Appends n bytes of standard input; false where the input ends first. Grows in steps, so that a wrong length
-// doesn't claim its memory up front.
-bool read_bytes(std::string& out, size_t n) {
-  while (n > 0) {
-    const size_t old = out.size();
-    out.resize(old + std::min(n, kChunkBytes));
-    const size_t got = std::fread(out.data() + old, 1, out.size() - old, stdin);
-    out.resize(old + got);
-    if (got == 0) return false;
-    n -= got;
+using sablelink::simulator_adapter::BatchHeader;
+using sablelink::simulator_adapter::kHeaderBytes;
+using sablelink::simulator_adapter::ProtocolError;
+using sablelink::simulator_adapter::SimulatorHost;
+
+constexpr size_t kReadChunkBytes = size_t{1} << 20;
+
+// Reads count bytes of standard input; fewer where the input ends first. The buffer grows by chunks, so that
+// a wrong length doesn't claim its memory up front.
+std::string read_up_to(size_t count) {
+  std::string bytes;
+  while (bytes.size() < count) {
+    const size_t old_size = bytes.size();
+    bytes.resize(old_size + std::min(count - old_size, kReadChunkBytes));
+    const size_t received = std::fread(bytes.data() + old_size, 1, bytes.size() - old_size, stdin);
+    bytes.resize(old_size + received);
+    if (received == 0) break;
   }
-  return true;
+  return bytes;
+}
+
+void write_reply(const std::string& frame) {
+  const bool written = std::fwrite(frame.data(), 1, frame.size(), stdout) == frame.size();
+  if (!written || std::fflush(stdout) != 0) throw ProtocolError("wire: the reply could not be written");
 }
 
-int run() {
-  using sablelink::simulator_adapter::kHeaderBytes;
-  sablelink::simulator_adapter::SimulatorHost host;
+void serve_until_end_of_input() {
+  SimulatorHost host;
   for (;;) {
-    std::string head;
-    if (!read_bytes(head, kHeaderBytes)) {
-      if (head.empty()) return 0;
-      throw sablelink::simulator_adapter::ProtocolError("wire: input ended inside a batch header");
-    }
-    const auto header = sablelink::simulator_adapter::read_header(head);
-    std::string body;
-    if (!read_bytes(body, header.body_bytes)) {
-      throw sablelink::simulator_adapter::ProtocolError("wire: input ended inside a batch");
-    }
-    const std::string frame = host.handle(header.now, body);
-    if (std::fwrite(frame.data(), 1, frame.size(), stdout) != frame.size() || std::fflush(stdout) != 0) {
-      throw sablelink::simulator_adapter::ProtocolError("wire: the reply could not be written");
-    }
+    const std::string head = read_up_to(kHeaderBytes);
+    if (head.empty()) return;
+    if (head.size() < kHeaderBytes) throw ProtocolError("wire: input ended inside a batch header");
+    const BatchHeader header = sablelink::simulator_adapter::read_batch_header(head);
+    const std::string body = read_up_to(header.body_bytes);
+    if (body.size() < header.body_bytes) throw ProtocolError("wire: input ended inside a batch");
+    write_reply(host.handle_batch(header.now, body));
   }
 }
 
@@ -49,9 +53,10 @@
 
 int main() {
   try {
-    return run();
+    serve_until_end_of_input();
+    return 0;
   } catch (const std::exception& e) {
-    std::fprintf(stderr, "sablelink_benchlink: %s\n", e.what());
+    std::fprintf(stderr, "sablelink_simulator_adapter: %s\n", e.what());
     return 1;
   }
 }
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -1,10 +1,13 @@
-// Hosts one Gateway for each instance that the simulator runs in this process.
+// Runs a workload manager for each gateway instance that the simulator places in this process.
 #pragma once
 
 #include <array>
+#include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <string_view>
+#include <vector>
 
 #include "simulator_adapter/codec.h"
 #include "workload/events.h"
@@ -13,26 +16,52 @@
 
 namespace sablelink::simulator_adapter {
 
+/// Feeds the records of a batch to the instances they belong to and collects what these do. One thread.
 class SimulatorHost {
  public:
-  // Handles one batch (the body after its header) and returns the reply frame. Throws WireError.
-  std::string handle(TimeUs now, std::string_view body);
+  /// Handles one batch and returns the reply frame. now: the clock of the batch's header; body: what follows
+  /// the header. Throws ProtocolError for malformed input and SettingsError for settings that can't be read;
+  /// the host must not be used after either.
+  std::string handle_batch(TimeUs now, std::string_view body);
 
  private:
   struct Instance {
-    WorkloadManager gateway;
-    bool tells_cost;
-    std::vector<std::string> fields;
+    WorkloadManager workload_manager;
+    bool engines_report_cost;
+    std::vector<std::string> load_report_fields;
   };
 
+  static constexpr size_t kEndpointLists = 16;
+
   void handle_record(TimeUs now, EventCode code, FrameReader& in);
-  void open(TimeUs now, FrameReader& in);
-  Instance* current();
+  void start_instance(TimeUs now, FrameReader& in);
+  void define_endpoint_list(FrameReader& in);
+
+  // Each reads the record of one event and notifies the instance of it; nullptr: the instance isn't running,
+  // and the record is skipped.
+  void handle_event(TimeUs now, EventCode code, FrameReader& in, Instance* instance);
+  void on_endpoints_changed(TimeUs now, FrameReader& in, Instance* instance);
+  void on_request(TimeUs now, FrameReader& in, Instance* instance);
+  void on_response_started(TimeUs now, FrameReader& in, Instance* instance);
+  void on_attempt_completed(TimeUs now, FrameReader& in, Instance* instance);
+  void on_client_disconnected(TimeUs now, FrameReader& in, Instance* instance);
+  void on_timer(TimeUs now, FrameReader& in, Instance* instance);
+  void on_health_check_completed(TimeUs now, FrameReader& in, Instance* instance);
+  void on_gossip(TimeUs now, FrameReader& in, Instance* instance);
+  void on_progress(TimeUs now, FrameReader& in, Instance* instance);
+
+  // Names of the values in the instance's load reports; empty where it isn't running.
+  static const std::vector<std::string>& load_report_fields(const Instance* instance);
+
+  // Throws ProtocolError where the batch has selected no instance yet.
+  uint16_t selected_instance_id() const;
+  // nullptr where the selected instance isn't running.
+  Instance* selected_instance();
 
   std::map<uint16_t, Instance> instances_;
-  std::array<std::vector<Endpoint>, 16> ledgers_;
+  std::array<std::vector<Endpoint>, kEndpointLists> endpoint_lists_;
   FrameWriter reply_;
-  int who_ = -1;
+  std::optional<uint16_t> selected_id_;  // of the current batch
 };
 
 }  // namespace sablelink::simulator_adapter
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -13,26 +13,26 @@
   int digit = -1;
   for (const char c : hex) {
     if (c == ' ' || c == '\n') continue;
-    const int v = c <= '9' ? c - '0' : c - 'a' + 10;
+    const int value = c <= '9' ? c - '0' : c - 'a' + 10;
     if (digit < 0) {
-      digit = v;
+      digit = value;
     } else {
-      out += static_cast<char>(digit << 4 | v);
+      out += static_cast<char>(digit << 4 | value);
       digit = -1;
     }
   }
   return out;
 }
 
-constexpr EngineId kNode = 0x0a124a07138bull;
+constexpr EngineId kEngine = 0x0a124a07138bull;
 
-TEST(Codec, ReadsTheHeader) {
-  const BatchHeader h = read_header(from_hex("5a5c800000000000 3a000000"));
+TEST(Codec, BatchHeader_ExampleBytes_IsRead) {
+  const BatchHeader h = read_batch_header(from_hex("5a5c800000000000 3a000000"));
   EXPECT_EQ(h.now, 0x805c5a);
   EXPECT_EQ(h.body_bytes, 0x3au);
 }
 
-TEST(Codec, ReadsARequest) {
+TEST(Codec, Request_ExampleBytes_IsRead) {
   const std::string bytes =
       from_hex("c4913a5d 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 0000c043 00003041 01");
   FrameReader in(bytes);
@@ -48,13 +48,13 @@
   EXPECT_FALSE(r.is_client_retry);
 }
 
-TEST(Codec, ReadsAnOutcomeWithCostAndReport) {
+TEST(Codec, AttemptCompletion_WithCostAndLoadReport_IsRead) {
   const std::string bytes =
       from_hex("c4913a5d 00 0a124a07 8b13 6400 44480000 01 60100100 04 0000e040 00004040 cdcccc3e 0000a03f");
   FrameReader in(bytes);
-  const AttemptCompletion e = read_attempt_end(in, true, {"concurrent", "depth", "x0", "x1"});
+  const AttemptCompletion e = read_attempt_completion(in, true, {"concurrent", "depth", "x0", "x1"});
   EXPECT_TRUE(in.empty());
-  EXPECT_EQ(e.engine, kNode);
+  EXPECT_EQ(e.engine, kEngine);
   EXPECT_EQ(e.outcome, Outcome::kOk);
   EXPECT_EQ(e.duration_us, 18500);
   EXPECT_TRUE(e.request_finished);
@@ -66,35 +66,35 @@
   EXPECT_FALSE(e.load_report->cpu_utilization.has_value());
 }
 
-TEST(Codec, ReadsAProgressNote) {
+TEST(Codec, ProgressUpdate_ExampleBytes_IsRead) {
   const std::string bytes = from_hex("c4913a5d 00 0a124a07 8b13 01 0000003f");
   FrameReader in(bytes);
   const ProgressUpdate n = read_progress(in);
   EXPECT_EQ(n.kind, ProgressKind::kProgress);
-  EXPECT_EQ(n.engine, kNode);
+  EXPECT_EQ(n.engine, kEngine);
   EXPECT_DOUBLE_EQ(n.value, 0.5);
 }
 
-TEST(Codec, ReadsAListOfEngines) {
+TEST(Codec, EndpointList_ExampleBytes_IsRead) {
   const std::string bytes = from_hex(
       "02000000 0000 01 0a124a07 8b13 0000803f 0000 0000000000000000 0000 "
       "0000 01 0a9011f2 b413 0000c03f 0100 20145d0000000000 0000");
   FrameReader in(bytes);
-  const auto entries = read_entries(in);
+  const auto entries = read_endpoints(in);
   ASSERT_EQ(entries.size(), 2u);
-  EXPECT_EQ(entries[0].engine, kNode);
+  EXPECT_EQ(entries[0].engine, kEngine);
   EXPECT_EQ(entries[0].started_at, 0);
   EXPECT_DOUBLE_EQ(entries[1].size, 1.5);
   EXPECT_EQ(entries[1].zone, 1);
   EXPECT_EQ(entries[1].started_at, 0x5d1420);
 }
 
-TEST(Codec, WritesActionsUnderTheirInstance) {
+TEST(FrameWriter, ActionsOfTwoInstances_GetAContextRecordEach) {
   FrameWriter out;
-  out.act_for(3);
-  out.send_attempt(0x5d3a91c4, kNode, 0x013880);
+  out.select_instance(3);
+  out.send_attempt(0x5d3a91c4, kEngine, 0x013880);
   out.set_timer(0x07a120, 0x4d);
-  out.act_for(5);
+  out.select_instance(5);
   out.log("two servers known");
   EXPECT_EQ(out.take_frame(), from_hex("32000000 06 0300 03 c4913a5d 0a124a07 8b13 80380100 "
                                        "09 20a10700 4d000000 06 0500 "
@@ -102,51 +102,53 @@
   EXPECT_EQ(out.take_frame(), from_hex("00000000"));
 }
 
-TEST(Codec, WritesTermsAndMessages) {
+TEST(FrameWriter, ExecutionHintsAndGossip_MatchExampleBytes) {
   FrameWriter out;
-  out.act_for(3);
+  out.select_instance(3);
   out.set_execution_hints(0x5d3a91c4, 2, 640);
   out.send_gossip(kAllGateways, "h i7");
   EXPECT_EQ(out.take_frame(), from_hex("18000000 06 0300 02 c4913a5d 02 00002044 0e ffffffff 0400 68206937"));
 }
 
-std::string open_record(const std::string& env) {
+// Selects instance 3 and starts it with these settings: two records.
+std::string instance_started(const std::string& settings) {
   std::string out = from_hex("0d 0300 01 0100000000000000");
-  const size_t n = env.size();
+  const size_t n = settings.size();
   for (int i = 0; i < 4; ++i) out += static_cast<char>(n >> (8 * i) & 0xff);
-  return out + env;
+  return out + settings;
 }
 
-const char kEnv[] = "Services.count=1\nServices.0.AimUs=1000000\nServices.0.DeadlineUs=5000000\n";
+const char kSettings[] = "Services.count=1\nServices.0.AimUs=1000000\nServices.0.DeadlineUs=5000000\n";
 
-TEST(Host, RunsAnInstanceFromItsSettings) {
+TEST(SimulatorHost, InstanceStartedWithSettings_SendsARequest) {
   SimulatorHost host;
-  const std::string reply = host.handle(
-      0x805c5a, from_hex("04000000") + open_record(kEnv) +
+  const std::string reply = host.handle_batch(
+      0x805c5a, from_hex("04000000") + instance_started(kSettings) +
                     from_hex("0c 00 01000000 0000 01 0a124a07 8b13 0000803f 0000 0000000000000000 0000 "
                              "02 00 29000000 02"));
   EXPECT_GT(reply.size(), 4u);
-  const std::string sent = host.handle(
+  const std::string sent = host.handle_batch(
       0x805c5f, from_hex("02000000 0d 0300 03 c4913a5d 0000 0000 0000000000000000 da05a40000000000 "
                          "e02e0000 0000c043 00003041 01"));
   EXPECT_NE(sent.find(from_hex("03 c4913a5d 0a124a07 8b13")), std::string::npos);
 }
 
-TEST(Host, EventsOfAStoppedInstanceArePassedOver) {
+TEST(SimulatorHost, EventsOfATerminatedInstance_AreSkipped) {
   SimulatorHost host;
-  host.handle(1, from_hex("03000000") + open_record(kEnv) + from_hex("0a"));
-  EXPECT_EQ(host.handle(2, from_hex("02000000 0d 0300 07 01000000")), from_hex("00000000"));
+  host.handle_batch(1, from_hex("03000000") + instance_started(kSettings) + from_hex("0a"));
+  EXPECT_EQ(host.handle_batch(2, from_hex("02000000 0d 0300 07 01000000")), from_hex("00000000"));
 }
 
-TEST(Host, MalformedInputIsAPlainError) {
+TEST(SimulatorHost, MalformedInput_ThrowsProtocolError) {
   SimulatorHost host;
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 03")), ProtocolError) << "truncated";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0d 0300 ff")), ProtocolError) << "too long";
-  EXPECT_THROW(host.handle(1, from_hex("02000000 0d 0300 63")), ProtocolError) << "unknown code";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 07 01000000")), ProtocolError) << "no instance named";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 10 00000000")), ProtocolError) << "ledger out of range";
-  EXPECT_THROW(host.handle(1, from_hex("01000000 0c 00 ffffffff")), ProtocolError) << "entries missing";
-  EXPECT_THROW(read_header(from_hex("5a5c800000000000 03000000")), ProtocolError);
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0d 03")), ProtocolError) << "truncated";
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0d 0300 ff")), ProtocolError) << "too long";
+  EXPECT_THROW(host.handle_batch(1, from_hex("02000000 0d 0300 63")), ProtocolError) << "unknown code";
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 07 01000000")), ProtocolError) << "no instance named";
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0c 10 00000000")), ProtocolError)
+      << "ledger out of range";
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0c 00 ffffffff")), ProtocolError) << "entries missing";
+  EXPECT_THROW(read_batch_header(from_hex("5a5c800000000000 03000000")), ProtocolError);
 }
 
 }  // namespace
