--- a/src/arrowipc/array.h
+++ b/src/arrowipc/array.h
@@ -4,17 +4,18 @@
 
 #include <cstdint>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <variant>
 #include <vector>
 
+#include "workload/error.h"
+
 namespace sablelink::arrowipc {
 
 // Thrown for bytes that aren't what the format allows, and for types that aren't supported; names the place.
-struct FormatError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+struct FormatError : Error {
+  using Error::Error;
 };
 
 enum class Type {
--- a/src/badday/process.cpp
+++ b/src/badday/process.cpp
@@ -10,7 +10,6 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
-#include <stdexcept>
 #include <thread>
 
 extern char** environ;
@@ -26,7 +25,7 @@
 Process::Process(const std::string& program, const std::vector<std::string>& arguments,
                  const std::string& log) {
   int pipe[2];
-  if (::pipe2(pipe, O_CLOEXEC) != 0) throw std::runtime_error("no pipe for " + program);
+  if (::pipe2(pipe, O_CLOEXEC) != 0) throw ProcessError("no pipe for " + program);
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
   posix_spawn_file_actions_adddup2(&actions, pipe[1], 1);
@@ -40,7 +39,7 @@
   out_ = pipe[0];
   if (error != 0) {
     ::close(out_);
-    throw std::runtime_error(program + " can't be started");
+    throw ProcessError(program + " can't be started");
   }
 }
 
--- a/src/badday/process.h
+++ b/src/badday/process.h
@@ -6,14 +6,20 @@
 #include <string>
 #include <vector>
 
+#include "workload/error.h"
 #include "workload/types.h"
 
 namespace sablelink::badday {
 
+/// A child process can't be started.
+struct ProcessError : Error {
+  using Error::Error;
+};
+
 class Process {
  public:
   // Starts the program with the arguments; its standard error is appended to the log file. Throws
-  // std::runtime_error.
+  // ProcessError.
   Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& log);
   ~Process();  // kills it
   Process(const Process&) = delete;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -9,6 +9,7 @@
 #include <random>
 
 #include "cli/commands.h"
+#include "workload/error.h"
 
 int main(int argc, char** argv) {
   using namespace sablelink;  // NOLINT
@@ -105,9 +106,10 @@
     if (*audit) return cli::run_audit(records, tag);
     if (*simulate) return cli::run_simulate(sim_options);
     if (*query) return cli::run_query(query_options, system);
-  } catch (const std::exception& e) {
+  } catch (const Error& e) {
     std::fprintf(stderr, "sablelink: %s\n", e.what());
-    return 1;
+  } catch (const std::exception& e) {
+    std::fprintf(stderr, "sablelink: internal error: %s\n", e.what());
   }
-  return 1;
+  return cli::kUsage;
 }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -14,6 +14,7 @@
 #include "service/gateway_service.h"
 #include "service/node_service.h"
 #include "service/platform_service.h"
+#include "workload/error.h"
 
 namespace sablelink::cli {
 namespace {
@@ -118,7 +119,7 @@
   signals.on_reload([&] {
     try {
       gateway.reload(config::parse_gateway_config(read_file(file), file));
-    } catch (const config::ConfigError& e) {
+    } catch (const Error& e) {
       log->error("reload_rejected", {{"error", e.what()}});
     }
   });
@@ -152,7 +153,7 @@
       if (signal == SIGHUP) {
         try {
           gateway.reload(platform::parse_config(read_file(file)));
-        } catch (const std::exception& e) {
+        } catch (const Error& e) {
           std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
         }
       } else {
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -6,17 +6,17 @@
 #include <memory>
 #include <optional>
 #include <set>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "workload/error.h"
 #include "workload/types.h"
 
 namespace sablelink::config {
 
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+struct ConfigError : Error {
+  using Error::Error;
 };
 
 class Section {
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -3,12 +3,12 @@
 #include <algorithm>
 #include <array>
 #include <deque>
-#include <stdexcept>
 #include <utility>
 
 #include "base/signal.h"
 #include "flightsql/catalog.h"
 #include "flightsql/terms.h"
+#include "workload/error.h"
 
 namespace sablelink::flightsql {
 namespace {
@@ -19,8 +19,8 @@
 constexpr size_t kMostRows = 1000;  // of parameters in one call
 
 // Ends a call with an error that is the client's own.
-struct CallError : std::runtime_error {
-  CallError(Code c, const std::string& what) : std::runtime_error(what), code(c) {}
+struct CallError : Error {
+  CallError(Code c, const std::string& what) : Error(what), code(c) {}
   Code code;
 };
 
@@ -218,7 +218,7 @@
   const PreparedStatements::Found found = find_prepared(handle);
   try {
     return checked_statement(sql::substitute(found.statement, found.literals));
-  } catch (const std::invalid_argument& e) {
+  } catch (const sql::ParameterCountError& e) {
     wrong(e.what());
   }
 }
@@ -574,7 +574,7 @@
     std::string text;
     try {
       text = checked_statement(sql::substitute(found.statement, rows[i]));
-    } catch (const std::invalid_argument& e) {
+    } catch (const sql::ParameterCountError& e) {
       wrong(e.what());
     }
     ran = co_await run(call, std::move(text), true, none, false);
--- a/src/nodes/record_file.cpp
+++ b/src/nodes/record_file.cpp
@@ -5,7 +5,6 @@
 #include <unistd.h>
 
 #include <fstream>
-#include <stdexcept>
 
 #include "sablelink.pb.h"
 
@@ -13,7 +12,7 @@
 
 RecordFile::RecordFile(const std::string& path)
     : file_(::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644)) {
-  if (file_ < 0) throw std::runtime_error("record " + path + " can't be written");
+  if (file_ < 0) throw RecordFileError("record " + path + " can't be written");
 }
 
 RecordFile::~RecordFile() { ::close(file_); }
@@ -37,7 +36,7 @@
 
 std::vector<NodeEvent> read_records(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw std::runtime_error("record " + path + " can't be read");
+  if (!in) throw RecordFileError("record " + path + " can't be read");
   google::protobuf::io::IstreamInputStream stream(&in);
   std::vector<NodeEvent> events;
   wire::NodeRecord r;
--- a/src/nodes/record_file.h
+++ b/src/nodes/record_file.h
@@ -8,12 +8,18 @@
 #include <vector>
 
 #include "nodes/recorder.h"
+#include "workload/error.h"
 
 namespace sablelink::nodes {
 
+/// A record file can't be opened.
+struct RecordFileError : Error {
+  using Error::Error;
+};
+
 class RecordFile : public Recorder {
  public:
-  // Appends. Throws std::runtime_error where the file can't be opened.
+  // Appends. Throws RecordFileError where the file can't be opened.
   explicit RecordFile(const std::string& path);
   ~RecordFile() override;
   void record(const NodeEvent& event) override;
@@ -23,8 +29,7 @@
   int file_;
 };
 
-// All records of a file; one cut off at its end is left out. Throws std::runtime_error where there is no
-// file.
+// All records of a file; one cut off at its end is left out. Throws RecordFileError where there is no file.
 std::vector<NodeEvent> read_records(const std::string& path);
 
 }  // namespace sablelink::nodes
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -3,19 +3,19 @@
 
 #include <cstdint>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "config/gateway_config.h"
+#include "workload/error.h"
 #include "workload/settings.h"
 #include "workload/types.h"
 
 namespace sablelink::platform {
 
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+struct ConfigError : Error {
+  using Error::Error;
 };
 
 // One change of the list of nodes, or an event about something else, without nodes.
--- a/src/rpc/grpc_server.h
+++ b/src/rpc/grpc_server.h
@@ -7,18 +7,14 @@
 #include <condition_variable>
 #include <memory>
 #include <mutex>
-#include <stdexcept>
 #include <string>
 
+#include "rpc/errors.h"
 #include "rpc/grpc_loop.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::rpc {
 
-struct ListenError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 struct GrpcServerOptions {
   std::string address;               // "host:port"; port 0 takes any free one
   int max_message_bytes = 16 << 20;  // a larger message ends its call with RESOURCE_EXHAUSTED
--- a/src/rpc/tcp_stream.cpp
+++ b/src/rpc/tcp_stream.cpp
@@ -8,11 +8,11 @@
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <stdexcept>
 #include <utility>
 
 #include "base/signal.h"
 #include "rpc/asio_loop.h"
+#include "rpc/errors.h"
 
 namespace sablelink::rpc {
 
@@ -40,7 +40,7 @@
     if (!error && digits && std::stoi(port) <= 65535)
       return {ip, static_cast<unsigned short>(std::stoi(port))};
   }
-  throw std::runtime_error("'" + address + "' is no address of the form 127.0.0.1:8080");
+  throw AddressError("'" + address + "' is no address of the form 127.0.0.1:8080");
 }
 
 }  // namespace
@@ -310,7 +310,7 @@
   try {
     acceptor = std::make_shared<Acceptor>(*this, at, std::move(handler));
   } catch (const boost::system::system_error& e) {
-    throw std::runtime_error("can't listen at " + address + ": " + e.code().message());
+    throw ListenError("can't listen at " + address + ": " + e.code().message());
   }
   const int port = acceptor->port();
   on_context([this, acceptor] {
@@ -324,7 +324,7 @@
   tcp::endpoint to;
   try {
     to = endpoint_of(address);
-  } catch (const std::runtime_error&) {
+  } catch (const AddressError&) {
     // An address comes from outside, too: a list that names a wrong one must not end whoever dials.
     if (end != nullptr) *end = ConnectEnd::kFailed;
     co_return nullptr;
--- a/src/rpc/tcp_stream.h
+++ b/src/rpc/tcp_stream.h
@@ -39,7 +39,7 @@
   TcpNet& operator=(const TcpNet&) = delete;
 
   // Serves connections at host:port, port 0 for any, from now until the net's end; the port. Throws
-  // std::runtime_error with the address where that can't be.
+  // AddressError or ListenError, naming the address, where that can't be.
   int listen(const std::string& address, StreamHandler handler);
   // Serves the connections that are made already, and takes no further ones; those that stand stay.
   void stop_listening();
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -20,7 +20,8 @@
 
 class PlatformService {
  public:
-  // Listens at once; serves in run(). Throws std::runtime_error where the address can't be had.
+  // Listens at once; serves in run(). Throws rpc::AddressError or rpc::ListenError where the address can't be
+  // had.
   PlatformService(platform::PlatformConfig config, const System& system);
   ~PlatformService();
 
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <array>
-#include <stdexcept>
 
 #include "base/text.h"
 
@@ -282,15 +281,15 @@
   for (const Token& t : tokenize(statement)) {
     if (t.kind != TokenKind::kParameter) continue;
     if (used == literals.size())
-      throw std::invalid_argument("the statement has more parameters than the " + std::to_string(used) +
-                                  " bound");
+      throw ParameterCountError("the statement has more parameters than the " + std::to_string(used) +
+                                " bound");
     out.append(statement.substr(done, t.at - done));
     out.append(literals[used++]);
     done = t.at + 1;
   }
   if (used != literals.size())
-    throw std::invalid_argument("the statement has " + std::to_string(used) + " parameters, but " +
-                                std::to_string(literals.size()) + " are bound");
+    throw ParameterCountError("the statement has " + std::to_string(used) + " parameters, but " +
+                              std::to_string(literals.size()) + " are bound");
   out.append(statement.substr(done));
   return out;
 }
--- a/src/sql/statement.h
+++ b/src/sql/statement.h
@@ -7,6 +7,8 @@
 #include <string_view>
 #include <vector>
 
+#include "workload/error.h"
+
 namespace sablelink::sql {
 
 enum class StatementKind { kQuery, kInsert, kUpdate, kDelete, kMerge, kLoad, kDefinition, kOther };
@@ -32,8 +34,13 @@
 };
 StatementInfo inspect(std::string_view statement);
 
-// The statement with its ? placeholders replaced by the literals, in order. Throws std::invalid_argument
-// where their numbers differ.
+/// A statement has more or fewer placeholders than there are literals for them.
+struct ParameterCountError : Error {
+  using Error::Error;
+};
+
+// The statement with its ? placeholders replaced by the literals, in order. Throws ParameterCountError where
+// their numbers differ.
 std::string substitute(std::string_view statement, const std::vector<std::string>& literals);
 size_t count_parameters(std::string_view statement);
 
--- a/tests/sql_test.cpp
+++ b/tests/sql_test.cpp
@@ -39,8 +39,8 @@
 TEST(Sql, ParametersAreFoundOutsideQuotesAndComments) {
   EXPECT_EQ(count_parameters("SELECT ?, '?', \"?\", $$?$$ /* ? */ -- ?\n WHERE a = ?"), 2u);
   EXPECT_EQ(substitute("SELECT ? WHERE a = '?' AND b=?", {"1", "'x?'"}), "SELECT 1 WHERE a = '?' AND b='x?'");
-  EXPECT_THROW(substitute("SELECT ?", {}), std::invalid_argument);
-  EXPECT_THROW(substitute("SELECT 1", {"1"}), std::invalid_argument);
+  EXPECT_THROW(substitute("SELECT ?", {}), ParameterCountError);
+  EXPECT_THROW(substitute("SELECT 1", {"1"}), ParameterCountError);
 }
 
 TEST(Sql, QuotedTextStaysOneLiteral) {
