--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -259,7 +259,12 @@
   const std::string& key = a->client->record.key;
   for (const Attempt* b : *line)
     if (b->request != name && b->from > a->from && b->from + s_.slack_us < at)
-      found(5, b->request + " of key " + key + " was sent while " + name + " was out");
+      found(5, std::string(b->request)
+                   .append(" of key ")
+                   .append(key)
+                   .append(" was sent while ")
+                   .append(name)
+                   .append(" was out"));
 }
 
 void Rules::attempt_ran(const std::string& name, int number) {
@@ -344,7 +349,8 @@
         b.from + s_.slack_us + jumped_within(b.gateway, a->to, b.from) < a->to + s_.rules.ordering_gap_us)
       found(5, b.request + " of key " + key + " was sent " + seconds(b.from - a->to) + " after " +
                    a->request + ", which may still have run");
-    const ClientRecord &first = b.client->record, &second = a->client->record;
+    const ClientRecord& first = b.client->record;
+    const ClientRecord& second = a->client->record;
     if (first.asked_at + s_.slack_us < second.asked_at &&
         (!b.client->over || first.ended_at > a->from + s_.slack_us))
       found(5, a->request + " of key " + key + " was sent before " + b.request + ", which came first");
--- a/src/badday/process.cpp
+++ b/src/badday/process.cpp
@@ -2,7 +2,6 @@
 
 #include <fcntl.h>
 #include <poll.h>
-#include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -10,10 +9,13 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
+<<<<<<< HEAD
+=======
+#include <csignal>
+#include <stdexcept>
+>>>>>>> main
 #include <thread>
 
-extern char** environ;
-
 namespace sablelink::badday {
 
 std::string free_address() {
