--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -15,6 +15,7 @@
 #include "service/json_log.h"
 #include "service/node_service.h"
 #include "service/platform_service.h"
+#include "workload/error.h"
 
 namespace sablelink::cli {
 namespace {
@@ -119,7 +120,7 @@
   signals.on_reload([&] {
     try {
       gateway.reload(config::parse_gateway_config(read_file(file), file));
-    } catch (const config::ConfigError& e) {
+    } catch (const Error& e) {
       log->error("reload_rejected", {{"error", e.what()}});
     }
   });
@@ -153,7 +154,7 @@
       if (signal == SIGHUP) {
         try {
           gateway.reload(platform::parse_config(read_file(file)));
-        } catch (const std::exception& e) {
+        } catch (const Error& e) {
           std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
         }
       } else {
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -18,9 +18,9 @@
   platform::EngineClientOptions options;
   options.budget = budget;
   options.dial_timeout_us = config.dial_timeout_us;
-  options.idle_close_us = config.idle_close_us;
+  options.engine_idle_timeout_us = config.engine_idle_timeout_us;
   options.hedging_allowed = config.settings.hedging_allowed;
-  options.classes = config.names.classes;
+  options.class_names = config.names.classes;
   return options;
 }
 
@@ -51,7 +51,7 @@
       log_(make_json_log("gateway", "info")),
       loop_(system.wall, system.steady),
       network_(std::make_unique<rpc::TcpNet>(loop_)) {
-  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.sockets);
+  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.max_descriptors);
   endpoint_source_ = std::make_unique<RegistryEndpointSource>(
       endpoint_registry_,
       [this](std::function<void()> callback) { loop_.call_after(0, std::move(callback)); });
@@ -71,15 +71,15 @@
     dispatcher_->start();
     endpoint_watcher_->start(config_);
   });
-  port_ = network_->listen(config_.listen, [this](std::shared_ptr<rpc::ByteStream> stream) {
+  port_ = network_->listen(config_.listen_address, [this](std::shared_ptr<rpc::ByteStream> stream) {
     return http_server_->serve(std::move(stream));
   });
   log_->info("started", {{"name", config_.name},
-                         {"listen", config_.listen},
+                         {"listen", config_.listen_address},
                          {"port", std::to_string(port_)},
-                         {"sockets", std::to_string(config_.sockets)},
+                         {"sockets", std::to_string(config_.max_descriptors)},
                          {"memory_mb", std::to_string(config_.memory_mb)},
-                         {"cores", std::to_string(config_.cores)}});
+                         {"cores", std::to_string(config_.cpu_cores)}});
 }
 
 // Destroying the network ends the coroutines that wait for it; poll() lets them return while the loop exists.
@@ -97,7 +97,7 @@
 // ------------------------------------------------------------------------------------
 
 void PlatformService::reload(const platform::PlatformConfig& config) {
-  log_->info("configuration_reloaded", {{"changelog", config.changelog}});
+  log_->info("configuration_reloaded", {{"changelog", config.watch_address}});
   endpoint_watcher_->switch_address(config);
 }
 
@@ -150,15 +150,15 @@
               {"rejected", std::to_string(requests.rejected)},
               {"failed", std::to_string(requests.failed)},
               {"attempts", std::to_string(requests.attempts)},
-              {"client_connections", std::to_string(clients.connections)},
-              {"malformed_requests", std::to_string(clients.wrong + clients.unreadable)},
-              {"client_connections_rejected", std::to_string(clients.no_room)},
+              {"client_connections", std::to_string(clients.accepted_connections)},
+              {"malformed_requests", std::to_string(clients.invalid_requests + clients.malformed_requests)},
+              {"client_connections_rejected", std::to_string(clients.rejected_at_capacity)},
               {"engine_connections", std::to_string(engines.dials)},
-              {"engine_calls", std::to_string(engines.calls)},
-              {"engine_calls_reset", std::to_string(engines.broken)},
-              {"engine_responses_malformed", std::to_string(engines.spoilt)},
-              {"engine_calls_timed_out", std::to_string(engines.overdue)},
-              {"attempts_delayed", std::to_string(engines.held_back)}});
+              {"engine_calls", std::to_string(engines.calls_sent)},
+              {"engine_calls_interrupted", std::to_string(engines.calls_interrupted)},
+              {"engine_responses_malformed", std::to_string(engines.malformed_responses)},
+              {"engine_calls_timed_out", std::to_string(engines.calls_timed_out)},
+              {"attempts_delayed", std::to_string(engines.attempts_delayed)}});
 }
 
 }  // namespace sablelink::service
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -1,11 +1,11 @@
 // The program as a process on loopback sockets: start, reload and graceful shutdown on the users' platform.
 // Limits on waiting are generous, as the tests are about what happens and not when.
 #include <gtest/gtest.h>
-#include <stdlib.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <memory>
@@ -66,11 +66,11 @@
 
   // Each statement takes service_time_us_; the response is sent on the call that started it.
   rpc::Awaitable<void> serve_engine(StreamPtr stream) {
-    http::RequestReader reader{http::ReadLimits{}};
+    http::RequestReader reader{http::MessageLimits{}};
     for (;;) {
       const std::optional<std::string> bytes = co_await stream->read(4096);
       if (!bytes || bytes->empty()) co_return;
-      if (reader.feed(*bytes) != http::ReadState::kDone) continue;
+      if (reader.feed(*bytes) != http::ParseStatus::kComplete) continue;
       const http::Request request = reader.take();
       if (request.method == "POST") ++statements_started_;
       if (engine_hangs_) continue;
@@ -96,15 +96,15 @@
   // Sets the status of the response; 0 if the connection failed or ended without one.
   rpc::Awaitable<void> send_request(std::string bytes, int* status) {
     const StreamPtr stream = co_await net_->connect(listen_, 5 * kSecond);
-    http::ResponseReader reader{http::ReadLimits{}};
-    auto state = http::ReadState::kMore;
+    http::ResponseReader reader{http::MessageLimits{}};
+    auto state = http::ParseStatus::kNeedMore;
     if (stream) co_await rpc::write_all(*stream, bytes);
-    while (stream && state == http::ReadState::kMore) {
+    while (stream && state == http::ParseStatus::kNeedMore) {
       const std::optional<std::string> piece = co_await stream->read(4096);
       if (!piece || piece->empty()) break;
       state = reader.feed(*piece);
     }
-    *status = state == http::ReadState::kDone ? reader.response().status : 0;
+    *status = state == http::ParseStatus::kComplete ? reader.response().status : 0;
   }
   // Sends a request in the background; its status is -1 until it has ended.
   void start_request(const std::string& bytes, int* status) {
