--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -22,6 +22,11 @@
   return {deadline, TimeoutKind::kHealthCheck, id, 0};
 }
 
+// Whether another attempt would run beside one that is in flight although hedging isn't allowed.
+bool would_duplicate(const TrackedRequest& request, bool hedging_allowed) {
+  return !request.attempts.empty() && !hedging_allowed;
+}
+
 }  // namespace
 
 RequestDispatcher::RequestDispatcher(Settings settings, uint64_t seed, const DispatcherLimits& limits,
@@ -100,7 +105,7 @@
   request.statement = std::move(statement);
   request.deadline = query.deadline;
   request.class_index = query.class_index;
-  log_accepted(query.id, request);
+  log_.request_accepted(query.id, request, request.deadline - clock_.now());
   schedule_deadline(query.id, request);
   notify([&] { manager_.on_request(clock_.now(), query, *this); });
   const TrackedRequest* const remaining = requests_.find(query.id);
@@ -163,7 +168,7 @@
 void RequestDispatcher::complete(RequestId id, TrackedRequest& request, const FinalResponse& response) {
   const std::shared_ptr<ResponseSink> sink = requests_.close(request);
   count_completion(response.status);
-  log_completed(id, request, response);
+  log_.request_completed(id, response, request.deadline - clock_.now());
   for (AttemptInFlight& attempt : request.attempts) buffers_.discard(attempt.buffered);
   cancel_deadline(id, request);
   sink->finish(response);
@@ -227,7 +232,7 @@
     return;
   }
   const AttemptId attempt_id{id, request->attempts_sent};
-  log_sent(attempt_id, engine, timeout_us);
+  log_.attempt_sent(attempt_id, engine, timeout_us);
   ++request->attempts_sent;
   ++counters_.attempts;
   if (attempt_id.number > 0) ++counters_.retries;
@@ -244,18 +249,16 @@
 }
 
 bool RequestDispatcher::may_send(const TrackedRequest& request) const {
-  const bool is_duplicate = !request.attempts.empty() && !hedging_allowed_;
-  return request.is_open() && !is_duplicate && clock_.now() < request.deadline;
+  return request.is_open() && !would_duplicate(request, hedging_allowed_) && clock_.now() < request.deadline;
 }
 
 // A send for a request that has just ended is a race and harmless; the others are defects of the workload
 // manager.
 void RequestDispatcher::block_send(RequestId id, TrackedRequest* request, EngineId engine) {
-  const bool is_duplicate = request != nullptr && !request->attempts.empty() && !hedging_allowed_;
+  const bool is_duplicate = request != nullptr && would_duplicate(*request, hedging_allowed_);
   if (request == nullptr || is_duplicate) {
     ++counters_.blocked_sends;
-    log_.error("send_blocked",
-               {{"request", std::to_string(id)}, {"doubled", is_duplicate ? "true" : "false"}});
+    log_.send_blocked(id, is_duplicate);
   }
   const int number = request == nullptr ? 0 : request->attempts_sent++;
   defer_completion({id, number}, engine, Outcome::kSuperseded);
@@ -334,7 +337,7 @@
   completion.memory_used_mb = result.memory_used_mb;
   completion.load_report = result.load_report;
   completion.engine_responsive = result.engine_responsive;
-  log_attempt_completed(id, result.outcome, completion.duration_us);
+  log_.attempt_completed(id, result.outcome, completion.duration_us);
   notify([&] { manager_.on_attempt_completed(clock_.now(), completion, *this); });
   erase_if_done(id.request);
 }
@@ -494,8 +497,7 @@
   counters_.max_timer_delay_us = std::max(counters_.max_timer_delay_us, delay_us);
   if (delay_us < kStallThresholdUs) return;
   ++counters_.timer_stalls;
-  log_.warn("stalled",
-            {{"late_ms", std::to_string(delay_us / 1000)}, {"open", std::to_string(requests_.open_count())}});
+  log_.stalled(delay_us, requests_.open_count());
 }
 
 // ---- Other decisions of the workload manager
@@ -510,47 +512,6 @@
 // Gateways of this program don't communicate: its settings never allow gossip.
 void RequestDispatcher::send_gossip(uint32_t, std::string_view) {}
 
-void RequestDispatcher::log(std::string_view line) { log_.info("decision", {{"line", std::string(line)}}); }
-
-// ---- Log records of level debug
-// ----------------------------------------------------------------------------
-
-void RequestDispatcher::log_accepted(RequestId id, const TrackedRequest& request) {
-  if (!log_.is_enabled(LogLevel::kDebug)) return;
-  log_.write(LogLevel::kDebug, "request_accepted",
-             {{"request", std::to_string(id)},
-              {"tag", request.statement->client_tag},
-              {"class", std::to_string(request.class_index)},
-              {"remaining_us", std::to_string(request.deadline - clock_.now())}});
-}
-
-void RequestDispatcher::log_sent(AttemptId id, EngineId engine, TimeUs timeout_us) {
-  if (!log_.is_enabled(LogLevel::kDebug)) return;
-  log_.write(LogLevel::kDebug, "attempt_sent",
-             {{"request", std::to_string(id.request)},
-              {"attempt", std::to_string(id.number)},
-              {"engine", std::to_string(engine)},
-              {"timeout_us", std::to_string(timeout_us)}});
-}
-
-void RequestDispatcher::log_attempt_completed(AttemptId id, Outcome outcome, TimeUs duration_us) {
-  if (!log_.is_enabled(LogLevel::kDebug)) return;
-  log_.write(LogLevel::kDebug, "attempt_completed",
-             {{"request", std::to_string(id.request)},
-              {"attempt", std::to_string(id.number)},
-              {"outcome", std::to_string(static_cast<int>(outcome))},
-              {"duration_us", std::to_string(duration_us)}});
-}
-
-void RequestDispatcher::log_completed(RequestId id, const TrackedRequest& request,
-                                      const FinalResponse& response) {
-  if (!log_.is_enabled(LogLevel::kDebug)) return;
-  log_.write(LogLevel::kDebug, "request_completed",
-             {{"request", std::to_string(id)},
-              {"status", request_status_name(response.status)},
-              {"reason", completion_reason_name(response.reason)},
-              {"attempts", std::to_string(response.attempts)},
-              {"remaining_us", std::to_string(request.deadline - clock_.now())}});
-}
+void RequestDispatcher::log(std::string_view line) { log_.decision(line); }
 
 }  // namespace sablelink::dispatch
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -15,6 +15,7 @@
 #include "base/log.h"
 #include "base/weak_ptr.h"
 #include "dispatch/attempt.h"
+#include "dispatch/dispatch_log.h"
 #include "dispatch/endpoint_source.h"
 #include "dispatch/engine_transport.h"
 #include "dispatch/event_clock.h"
@@ -179,18 +180,13 @@
   void on_request_timeout(RequestId id);
   void record_timer_delay(TimeUs delay_us);
 
-  void log_accepted(RequestId id, const TrackedRequest& request);
-  void log_sent(AttemptId id, EngineId engine, TimeUs timeout_us);
-  void log_completed(RequestId id, const TrackedRequest& request, const FinalResponse& response);
-  void log_attempt_completed(AttemptId id, Outcome outcome, TimeUs duration_us);
-
   const DispatcherLimits limits_;
   const bool hedging_allowed_;
   WorkloadManager manager_;
   EventClock clock_;
   EngineTransport& transport_;
   EndpointSource& endpoint_source_;
-  Log& log_;
+  const DispatchLog log_;
   RequestTable requests_;
   ResponseBufferPool buffers_;
   HealthCheckTable health_checks_;
--- a/tests/base/weak_ptr_test.cpp
+++ b/tests/base/weak_ptr_test.cpp
@@ -2,6 +2,7 @@
 
 #include <gtest/gtest.h>
 
+#include <array>
 #include <memory>
 
 namespace sablelink::test {
@@ -38,11 +39,11 @@
 TEST(WeakPtr, OwnerDestroyed_IsEmptyAndSoAreItsCopies) {
   auto owner = std::make_unique<Owner>(7);
   const WeakPtr<Owner> pointer = owner->get_weak_ptr();
-  const WeakPtr<Owner> copy =
-      pointer;  // NOLINT(performance-unnecessary-copy-initialization): the copy is tested
+  const std::array<WeakPtr<Owner>, 1> copies{pointer};
+  ASSERT_TRUE(copies[0]);
   owner.reset();
   EXPECT_FALSE(pointer);
-  EXPECT_EQ(copy.get(), nullptr);
+  EXPECT_EQ(copies[0].get(), nullptr);
 }
 
 TEST(WeakPtr, FactoryInvalidated_EmptiesEarlierAndLaterPointers) {
--- a/tests/dispatch/request_dispatcher_test.cpp
+++ b/tests/dispatch/request_dispatcher_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "tests/program_harness.h"
+#include "tests/dispatch/dispatcher_harness.h"
 
 namespace sablelink::test {
 namespace {
@@ -14,17 +14,17 @@
 TEST(RequestDispatcher, Response_IsWithheldUntilComplete) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  FakeNodes::Sent* const sent = fixture.nodes.out(id);
+  const RequestId id = fixture.submit(client);
+  FakeEngineTransport::SentAttempt* const sent = fixture.transport.in_flight(id);
   ASSERT_NE(sent, nullptr);
-  EXPECT_TRUE(fixture.dispatcher.on_attempt_message(sent->key, "schema"));
-  EXPECT_TRUE(fixture.dispatcher.on_attempt_message(sent->key, "batch"));
+  EXPECT_TRUE(fixture.dispatcher.on_attempt_message(sent->id, "schema"));
+  EXPECT_TRUE(fixture.dispatcher.on_attempt_message(sent->id, "batch"));
   EXPECT_TRUE(client->messages.empty());
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 11u);
-  fixture.end(*sent, Outcome::kOk);
+  fixture.complete(*sent, Outcome::kOk);
   ASSERT_EQ(client->messages.size(), 2u);
-  ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].status, RequestStatus::kServed);
+  ASSERT_EQ(client->final_responses.size(), 1u);
+  EXPECT_EQ(client->final_responses[0].status, RequestStatus::kServed);
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
   fixture.dispatcher.on_response_consumed(id, 11);
@@ -34,15 +34,15 @@
 TEST(RequestDispatcher, FailedAttempt_ItsBufferedResponseIsNotForwarded) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(id)->key, "half of an answer");
-  fixture.end(*fixture.nodes.out(id), Outcome::kReset);
-  ASSERT_EQ(fixture.nodes.count(id), 2);
+  const RequestId id = fixture.submit(client);
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "half of an answer");
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kReset);
+  ASSERT_EQ(fixture.transport.sent_count(id), 2);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 0u);
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(id)->key, "whole");
-  fixture.end(*fixture.nodes.out(id), Outcome::kOk);
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "whole");
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
   ASSERT_EQ(client->messages, std::vector<std::string>{"whole"});
-  EXPECT_EQ(client->answers.at(0).attempts, 2);
+  EXPECT_EQ(client->final_responses.at(0).attempts, 2);
 }
 
 TEST(RequestDispatcher, ResponsePastBufferLimit_IsStreamedAndNotRetried) {
@@ -50,28 +50,28 @@
   limits.response_buffer_bytes = 10;
   DispatcherFixture fixture(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  FakeNodes::Sent* const sent = fixture.nodes.out(id);
-  fixture.dispatcher.on_attempt_message(sent->key, "0123456");
+  const RequestId id = fixture.submit(client);
+  FakeEngineTransport::SentAttempt* const sent = fixture.transport.in_flight(id);
+  fixture.dispatcher.on_attempt_message(sent->id, "0123456");
   EXPECT_TRUE(client->messages.empty());
-  fixture.dispatcher.on_attempt_message(sent->key, "789abc");
+  fixture.dispatcher.on_attempt_message(sent->id, "789abc");
   EXPECT_EQ(client->messages.size(), 2u);
-  fixture.end(*sent, Outcome::kReset);
-  ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].status, RequestStatus::kFailed);
-  EXPECT_EQ(client->answers[0].reason, CompletionReason::kStreamInterrupted);
+  fixture.complete(*sent, Outcome::kReset);
+  ASSERT_EQ(client->final_responses.size(), 1u);
+  EXPECT_EQ(client->final_responses[0].status, RequestStatus::kFailed);
+  EXPECT_EQ(client->final_responses[0].reason, CompletionReason::kStreamInterrupted);
   fixture.clock.run_for(2 * kSecond);
-  EXPECT_EQ(fixture.nodes.count(id), 1);
+  EXPECT_EQ(fixture.transport.sent_count(id), 1);
 }
 
 TEST(RequestDispatcher, RequestPastItsDeadline_IsRejectedAtOnceAndNotSent) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client, 0);
-  EXPECT_EQ(fixture.nodes.count(id), 0);
-  ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].status, RequestStatus::kRejected);
-  EXPECT_EQ(client->answers[0].reason, CompletionReason::kDeadlineExceeded);
+  const RequestId id = fixture.submit(client, 0);
+  EXPECT_EQ(fixture.transport.sent_count(id), 0);
+  ASSERT_EQ(client->final_responses.size(), 1u);
+  EXPECT_EQ(client->final_responses[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(client->final_responses[0].reason, CompletionReason::kDeadlineExceeded);
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
 }
 
@@ -81,14 +81,14 @@
   Settings s = plain_settings();
   s.classes[0].ordered_by_key = true;
   DispatcherFixture fixture(s);
-  fixture.take(std::make_shared<FakeClient>(), kSecond, 0, 5);
+  fixture.submit(std::make_shared<FakeClient>(), kSecond, 0, 5);
   const auto client = std::make_shared<FakeClient>();
-  fixture.take(client, 300, 0, 5);
-  EXPECT_TRUE(client->answers.empty());
+  fixture.submit(client, 300, 0, 5);
+  EXPECT_TRUE(client->final_responses.empty());
   fixture.clock.run_for(kMs);
-  ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_EQ(client->answers[0].status, RequestStatus::kRejected);
-  EXPECT_EQ(client->answers[0].reason, CompletionReason::kDeadlineExceeded);
+  ASSERT_EQ(client->final_responses.size(), 1u);
+  EXPECT_EQ(client->final_responses[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(client->final_responses[0].reason, CompletionReason::kDeadlineExceeded);
 }
 
 TEST(RequestDispatcher, StreamedResponse_ContinuesPastTheDeadline) {
@@ -96,12 +96,12 @@
   limits.response_buffer_bytes = 10;
   DispatcherFixture fixture(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client, kSecond);
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(id)->key, "a long answer begins");
+  const RequestId id = fixture.submit(client, kSecond);
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "a long answer begins");
   fixture.clock.run_for(3 * kSecond);
-  EXPECT_TRUE(client->answers.empty());
-  fixture.end(*fixture.nodes.out(id), Outcome::kOk);
-  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kServed);
+  EXPECT_TRUE(client->final_responses.empty());
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
+  EXPECT_EQ(client->final_responses.at(0).status, RequestStatus::kServed);
 }
 
 TEST(RequestDispatcher, SlowReader_PausesItsOwnAttemptOnly) {
@@ -111,17 +111,18 @@
   DispatcherFixture fixture(plain_settings(), limits);
   const auto slow = std::make_shared<FakeClient>();
   const auto fast = std::make_shared<FakeClient>();
-  const RequestId slow_id = fixture.take(slow);
-  const RequestId fast_id = fixture.take(fast);
-  const dispatch::AttemptId slow_attempt = fixture.nodes.out(slow_id)->key;
+  const RequestId slow_id = fixture.submit(slow);
+  const RequestId fast_id = fixture.submit(fast);
+  const dispatch::AttemptId slow_attempt = fixture.transport.in_flight(slow_id)->id;
   EXPECT_TRUE(fixture.dispatcher.on_attempt_message(slow_attempt, std::string(60, 'x')));
   EXPECT_FALSE(fixture.dispatcher.on_attempt_message(
       slow_attempt, std::string(60, 'x')));  // 120 unread bytes exceed the window
-  EXPECT_TRUE(fixture.dispatcher.on_attempt_message(fixture.nodes.out(fast_id)->key, std::string(60, 'x')));
+  EXPECT_TRUE(
+      fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(fast_id)->id, std::string(60, 'x')));
   fixture.dispatcher.on_response_consumed(slow_id, 60);
-  EXPECT_EQ(fixture.nodes.resumes, 0);  // 60 left, more than half of the window
+  EXPECT_EQ(fixture.transport.resumes, 0);  // 60 left, more than half of the window
   fixture.dispatcher.on_response_consumed(slow_id, 30);
-  EXPECT_EQ(fixture.nodes.resumes, 1);
+  EXPECT_EQ(fixture.transport.resumes, 1);
 }
 
 TEST(RequestDispatcher, TotalBufferLimit_StreamsResponsesBeforeTheirOwnLimit) {
@@ -131,11 +132,11 @@
   DispatcherFixture fixture(plain_settings(), limits);
   const auto one = std::make_shared<FakeClient>();
   const auto two = std::make_shared<FakeClient>();
-  const RequestId first = fixture.take(one);
-  const RequestId second = fixture.take(two);
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(first)->key, std::string(900, 'x'));
+  const RequestId first = fixture.submit(one);
+  const RequestId second = fixture.submit(two);
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(first)->id, std::string(900, 'x'));
   EXPECT_TRUE(two->messages.empty());
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(second)->key, std::string(700, 'x'));
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(second)->id, std::string(700, 'x'));
   EXPECT_EQ(two->messages.size(), 1u);  // streamed before its own limit
   fixture.dispatcher.on_client_disconnected(second);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 900u);
@@ -146,9 +147,9 @@
 TEST(RequestDispatcher, ClientDisconnectedAfterCompletion_UnreadBytesAreNotCounted) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  fixture.dispatcher.on_attempt_message(fixture.nodes.out(id)->key, "answer");
-  fixture.end(*fixture.nodes.out(id), Outcome::kOk);
+  const RequestId id = fixture.submit(client);
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "answer");
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 6u);
   fixture.dispatcher.on_client_disconnected(id);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 0u);
@@ -159,16 +160,16 @@
 TEST(RequestDispatcher, ClientDisconnected_AttemptIsCancelledAndNothingForwarded) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  const dispatch::AttemptId key = fixture.nodes.out(id)->key;
+  const RequestId id = fixture.submit(client);
+  const dispatch::AttemptId attempt = fixture.transport.in_flight(id)->id;
   fixture.dispatcher.on_client_disconnected(id);
-  EXPECT_TRUE(fixture.nodes.find(key)->dropped);
+  EXPECT_TRUE(fixture.transport.find(attempt)->is_cancelled);
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
-  fixture.dispatcher.on_attempt_message(key, "late");
-  fixture.dispatcher.on_attempt_completed(key, {});
+  fixture.dispatcher.on_attempt_message(attempt, "late");
+  fixture.dispatcher.on_attempt_completed(attempt, {});
   EXPECT_TRUE(client->messages.empty());
-  EXPECT_TRUE(client->answers.empty());
+  EXPECT_TRUE(client->final_responses.empty());
   EXPECT_EQ(fixture.dispatcher.counters().disconnected, 1u);
 }
 
@@ -177,11 +178,11 @@
   limits.response_buffer_bytes = 2;
   DispatcherFixture fixture(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  const dispatch::AttemptId key = fixture.nodes.out(id)->key;
-  fixture.dispatcher.on_attempt_message(key, "stream");
+  const RequestId id = fixture.submit(client);
+  const dispatch::AttemptId attempt = fixture.transport.in_flight(id)->id;
+  fixture.dispatcher.on_attempt_message(attempt, "stream");
   fixture.dispatcher.on_client_disconnected(id);
-  EXPECT_TRUE(fixture.nodes.find(key)->dropped);
+  EXPECT_TRUE(fixture.transport.find(attempt)->is_cancelled);
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 0u);
 }
@@ -190,38 +191,38 @@
   DispatcherFixture fixture;
   for (int i = 0; i < 20; ++i) {
     const auto client = std::make_shared<FakeClient>();
-    const RequestId id = fixture.take(client);
-    ASSERT_NE(fixture.nodes.out(id), nullptr) << "an engine was ejected for wrong statements";
-    fixture.end(*fixture.nodes.out(id), Outcome::kError, true);
-    ASSERT_EQ(client->answers.size(), 1u);
-    EXPECT_EQ(client->answers[0].status, RequestStatus::kFailed);
-    EXPECT_EQ(client->answers[0].reason, CompletionReason::kStatementError);
-    EXPECT_EQ(client->answers[0].error.message, "trouble");
-    EXPECT_EQ(fixture.nodes.count(id), 1);
+    const RequestId id = fixture.submit(client);
+    ASSERT_NE(fixture.transport.in_flight(id), nullptr) << "an engine was ejected for wrong statements";
+    fixture.complete(*fixture.transport.in_flight(id), Outcome::kError, true);
+    ASSERT_EQ(client->final_responses.size(), 1u);
+    EXPECT_EQ(client->final_responses[0].status, RequestStatus::kFailed);
+    EXPECT_EQ(client->final_responses[0].reason, CompletionReason::kStatementError);
+    EXPECT_EQ(client->final_responses[0].error.message, "trouble");
+    EXPECT_EQ(fixture.transport.sent_count(id), 1);
   }
 }
 
 TEST(RequestDispatcher, UnresponsiveEngine_RequestIsCompletedByItsDeadline) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client, kSecond);  // the engine never responds
-  ASSERT_NE(fixture.nodes.out(id), nullptr);
+  const RequestId id = fixture.submit(client, kSecond);  // the engine never responds
+  ASSERT_NE(fixture.transport.in_flight(id), nullptr);
   fixture.clock.run_for(kSecond);
-  ASSERT_EQ(client->answers.size(), 1u);
-  EXPECT_NE(client->answers[0].status, RequestStatus::kServed);
+  ASSERT_EQ(client->final_responses.size(), 1u);
+  EXPECT_NE(client->final_responses[0].status, RequestStatus::kServed);
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
   fixture.clock.run_for(5 * kSecond);
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
-  EXPECT_EQ(client->answers.size(), 1u);
+  EXPECT_EQ(client->final_responses.size(), 1u);
 }
 
 TEST(RequestDispatcher, ProcessStall_RequestIsCompletedAfterward) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  fixture.take(client, kSecond);
+  fixture.submit(client, kSecond);
   fixture.clock.stall(10 * kSecond);
   fixture.clock.run_for(1);
-  EXPECT_EQ(client->answers.size(), 1u);
+  EXPECT_EQ(client->final_responses.size(), 1u);
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
 }
 
@@ -232,43 +233,43 @@
   const auto one = std::make_shared<FakeClient>();
   const auto two = std::make_shared<FakeClient>();
   const auto three = std::make_shared<FakeClient>();
-  const RequestId first = fixture.take(one);
-  fixture.take(two);
-  EXPECT_EQ(fixture.take(three), 0u);
-  ASSERT_EQ(three->answers.size(), 1u);
-  EXPECT_EQ(three->answers[0].status, RequestStatus::kRejected);
-  EXPECT_EQ(three->answers[0].reason, CompletionReason::kGatewayOverloaded);
-  fixture.end(*fixture.nodes.out(first), Outcome::kOk);
-  EXPECT_NE(fixture.take(std::make_shared<FakeClient>()), 0u);
+  const RequestId first = fixture.submit(one);
+  fixture.submit(two);
+  EXPECT_EQ(fixture.submit(three), 0u);
+  ASSERT_EQ(three->final_responses.size(), 1u);
+  EXPECT_EQ(three->final_responses[0].status, RequestStatus::kRejected);
+  EXPECT_EQ(three->final_responses[0].reason, CompletionReason::kGatewayOverloaded);
+  fixture.complete(*fixture.transport.in_flight(first), Outcome::kOk);
+  EXPECT_NE(fixture.submit(std::make_shared<FakeClient>()), 0u);
 }
 
 TEST(RequestDispatcher, StopAccepting_RejectsNewRequestsAndCompletesOpenOnes) {
   DispatcherFixture fixture;
   const auto old = std::make_shared<FakeClient>();
   const auto fresh = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(old);
+  const RequestId id = fixture.submit(old);
   bool idle = false;
   fixture.dispatcher.stop_accepting([&] { idle = true; });
-  EXPECT_EQ(fixture.take(fresh), 0u);
-  EXPECT_EQ(fresh->answers.at(0).reason, CompletionReason::kShuttingDown);
+  EXPECT_EQ(fixture.submit(fresh), 0u);
+  EXPECT_EQ(fresh->final_responses.at(0).reason, CompletionReason::kShuttingDown);
   EXPECT_FALSE(idle);
-  fixture.end(*fixture.nodes.out(id), Outcome::kOk);
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
   EXPECT_TRUE(idle);
-  EXPECT_EQ(old->answers.at(0).status, RequestStatus::kServed);
+  EXPECT_EQ(old->final_responses.at(0).status, RequestStatus::kServed);
 }
 
 TEST(RequestDispatcher, CancelInFlight_CompletesOpenRequestsAndRejectsNewOnes) {
   DispatcherFixture fixture;
   const auto open = std::make_shared<FakeClient>();
   const auto later = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(open);
-  ASSERT_NE(fixture.nodes.out(id), nullptr);
+  const RequestId id = fixture.submit(open);
+  ASSERT_NE(fixture.transport.in_flight(id), nullptr);
   fixture.dispatcher.cancel_in_flight();
-  ASSERT_EQ(open->answers.size(), 1u);
-  EXPECT_TRUE(fixture.nodes.find({id, 0})->dropped);
-  fixture.take(later);
-  ASSERT_EQ(later->answers.size(), 1u);
-  EXPECT_EQ(later->answers[0].reason, dispatch::CompletionReason::kShuttingDown);
+  ASSERT_EQ(open->final_responses.size(), 1u);
+  EXPECT_TRUE(fixture.transport.find({id, 0})->is_cancelled);
+  fixture.submit(later);
+  ASSERT_EQ(later->final_responses.size(), 1u);
+  EXPECT_EQ(later->final_responses[0].reason, dispatch::CompletionReason::kShuttingDown);
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
 }
 
@@ -281,13 +282,13 @@
   for (const bool disconnected : {false, true}) {
     DispatcherFixture fixture;
     const auto client = std::make_shared<DisconnectingClient>();
-    const RequestId id = fixture.take(client);
-    FakeNodes::Sent* const sent = fixture.nodes.out(id);
+    const RequestId id = fixture.submit(client);
+    FakeEngineTransport::SentAttempt* const sent = fixture.transport.in_flight(id);
     ASSERT_NE(sent, nullptr);
     client->is_disconnected = disconnected;
-    EXPECT_EQ(sent->order.still_valid(), !disconnected);
+    EXPECT_EQ(sent->spec.still_valid(), !disconnected);
     EXPECT_EQ(fixture.dispatcher.counters().disconnected, disconnected ? 1u : 0u);
-    EXPECT_EQ(fixture.nodes.find({id, 0})->dropped, disconnected);
+    EXPECT_EQ(fixture.transport.find({id, 0})->is_cancelled, disconnected);
   }
 }
 
@@ -303,11 +304,11 @@
   s.classes[0].idempotency = Idempotency::kNotIdempotent;
   DispatcherFixture fixture(s);
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  fixture.end(*fixture.nodes.out(id), Outcome::kReset);
+  const RequestId id = fixture.submit(client);
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kReset);
   fixture.clock.run_for(kSecond);
-  EXPECT_EQ(fixture.nodes.count(id), 1);
-  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kFailed);
+  EXPECT_EQ(fixture.transport.sent_count(id), 1);
+  EXPECT_EQ(client->final_responses.at(0).status, RequestStatus::kFailed);
 }
 
 TEST(RequestDispatcher, NonIdempotentRequest_AfterConnectFailureIsRetried) {
@@ -315,11 +316,11 @@
   s.classes[0].idempotency = Idempotency::kNotIdempotent;
   DispatcherFixture fixture(s);
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  fixture.end(*fixture.nodes.out(id), Outcome::kConnectFailed);
-  ASSERT_EQ(fixture.nodes.count(id), 2);
-  fixture.end(*fixture.nodes.out(id), Outcome::kOk);
-  EXPECT_EQ(client->answers.at(0).status, RequestStatus::kServed);
+  const RequestId id = fixture.submit(client);
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kConnectFailed);
+  ASSERT_EQ(fixture.transport.sent_count(id), 2);
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
+  EXPECT_EQ(client->final_responses.at(0).status, RequestStatus::kServed);
 }
 
 TEST(RequestDispatcher, RequestsOfOneKey_AreSentInOrder) {
@@ -329,29 +330,29 @@
   DispatcherFixture fixture(s);
   const auto one = std::make_shared<FakeClient>();
   const auto two = std::make_shared<FakeClient>();
-  const RequestId first = fixture.take(one, 5 * kSecond, 0, 9);
-  const RequestId second = fixture.take(two, 5 * kSecond, 0, 9);
-  EXPECT_EQ(fixture.nodes.count(second), 0);
+  const RequestId first = fixture.submit(one, 5 * kSecond, 0, 9);
+  const RequestId second = fixture.submit(two, 5 * kSecond, 0, 9);
+  EXPECT_EQ(fixture.transport.sent_count(second), 0);
   // The cancelled attempt may still be running, so the key's next request waits.
   fixture.dispatcher.on_client_disconnected(first);
   fixture.clock.run_for(200 * kMs);
-  EXPECT_EQ(fixture.nodes.count(second), 0);
+  EXPECT_EQ(fixture.transport.sent_count(second), 0);
   fixture.clock.run_for(200 * kMs);
-  EXPECT_EQ(fixture.nodes.count(second), 1);
+  EXPECT_EQ(fixture.transport.sent_count(second), 1);
 }
 
 TEST(RequestDispatcher, EngineDrainingBeforeRetry_IsNotRetriedThere) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
-  const RequestId id = fixture.take(client);
-  const EngineId first = fixture.nodes.out(id)->engine;
+  const RequestId id = fixture.submit(client);
+  const EngineId first = fixture.transport.in_flight(id)->engine;
   const EngineId other = 3 - first;  // the engines are 1 and 2
   std::vector<Endpoint> list{engine(1), engine(2)};
   list[other - 1].state = EndpointState::kDraining;
   fixture.dispatcher.on_endpoints_changed(EndpointUpdateKind::kFull, list);
-  fixture.end(*fixture.nodes.out(id), Outcome::kError);
+  fixture.complete(*fixture.transport.in_flight(id), Outcome::kError);
   fixture.clock.run_for(kSecond);
-  for (const FakeNodes::Sent& s : fixture.nodes.sent) EXPECT_NE(s.engine, other);
+  for (const FakeEngineTransport::SentAttempt& s : fixture.transport.sent) EXPECT_NE(s.engine, other);
 }
 
 TEST(RequestDispatcher, HealthCheckWithoutResult_TimesOut) {
@@ -361,14 +362,15 @@
   dispatch::DispatcherLimits limits;
   limits.health_check_timeout_us = 300 * kMs;
   DispatcherFixture fixture(s, limits);
-  fixture.take(std::make_shared<FakeClient>(), 15 * kSecond, 1);
-  ASSERT_EQ(fixture.nodes.probes.size(), 2u);
+  fixture.submit(std::make_shared<FakeClient>(), 15 * kSecond, 1);
+  ASSERT_EQ(fixture.transport.health_checks.size(), 2u);
   EXPECT_EQ(fixture.dispatcher.outstanding_health_checks(), 2u);
-  fixture.dispatcher.on_health_check_completed(fixture.nodes.probes[0].first, Outcome::kOk, std::nullopt);
+  fixture.dispatcher.on_health_check_completed(fixture.transport.health_checks[0], Outcome::kOk,
+                                               std::nullopt);
   EXPECT_EQ(fixture.dispatcher.outstanding_health_checks(), 1u);
   fixture.clock.run_for(kSecond);
   EXPECT_EQ(fixture.dispatcher.outstanding_health_checks(), 0u);
-  fixture.dispatcher.on_health_check_completed(fixture.nodes.probes[1].first, Outcome::kOk,
+  fixture.dispatcher.on_health_check_completed(fixture.transport.health_checks[1], Outcome::kOk,
                                                std::nullopt);  // late, for an unknown check
 }
 
@@ -376,10 +378,11 @@
   DispatcherFixture fixture;
   for (int i = 0; i < 2'000; ++i) {
     const auto client = std::make_shared<FakeClient>();
-    const RequestId id = fixture.take(client);
-    if (id != 0 && fixture.nodes.out(id) != nullptr) fixture.end(*fixture.nodes.out(id), Outcome::kOk);
+    const RequestId id = fixture.submit(client);
+    if (id != 0 && fixture.transport.in_flight(id) != nullptr)
+      fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
     fixture.clock.run_for(kMs);
-    fixture.nodes.sent.clear();
+    fixture.transport.sent.clear();
   }
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
   EXPECT_LE(fixture.clock.pending(), 8u);
--- a/tests/dispatch/request_table_test.cpp
+++ b/tests/dispatch/request_table_test.cpp
@@ -4,7 +4,7 @@
 
 #include <memory>
 
-#include "tests/program_harness.h"
+#include "tests/dispatch/dispatcher_harness.h"
 
 namespace sablelink::test {
 namespace {
--- a/tests/dispatch/timeout_queue_test.cpp
+++ b/tests/dispatch/timeout_queue_test.cpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <vector>
 
-#include "tests/program_harness.h"
+#include "tests/dispatch/dispatcher_harness.h"
 
 namespace sablelink::test {
 namespace {
