--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -250,7 +250,7 @@
     co_return;
   }
   self->enter(Stage::kReadingRequest);
-  self->reading_resumed_.give();
+  self->reading_resumed_.set();
   self->parse_status_ = self->reader_.feed({});
   self->process_next_request();
 }
@@ -281,7 +281,7 @@
 void HttpConnection::close() {
   if (stage_ == Stage::kClosed) return;
   stage_ = Stage::kClosed;
-  reading_resumed_.give();
+  reading_resumed_.set();
   stream_->close();
   const RequestId id = std::exchange(open_request_, 0);
   if (id == 0) return;
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 #include "dispatch/request_dispatcher.h"
 #include "http/reader.h"
 #include "membership/endpoint_registry.h"
@@ -153,10 +153,10 @@
     if (!response) response = protocol_response(received);
     if (response->is_unread) received_requests.pop_back();
     if (response->is_withheld) co_return true;
-    if (response->delay_us > 0) co_await pause(*actor_, response->delay_us);
+    if (response->delay_us > 0) co_await sleep_for(*actor_, response->delay_us);
     if (!response->bytes.empty()) co_await rpc::write_all(stream, response->bytes);
     if (!response->trailing_bytes.empty()) {
-      co_await pause(*actor_, 2 * kMs);
+      co_await sleep_for(*actor_, 2 * kMs);
       co_await rpc::write_all(stream, response->trailing_bytes);
     }
     if (response->closes_connection) stream.close();
@@ -176,7 +176,7 @@
 class CountingLog : public Log {
  public:
   void write(LogLevel, std::string_view event, LogFields) override { ++counts_[std::string(event)]; }
-  bool wants(LogLevel level) const override { return level != LogLevel::kDebug; }
+  bool is_enabled(LogLevel level) const override { return level != LogLevel::kDebug; }
   size_t count(const std::string& event) const {
     const auto it = counts_.find(event);
     return it == counts_.end() ? 0 : it->second;
