--- a/src/workload/workload_manager.cpp
+++ b/src/workload/workload_manager.cpp
@@ -9,12 +9,26 @@
 #include <string>
 #include <utility>
 
+#include "workload/cost_model.h"
+#include "workload/engine.h"
+#include "workload/key_ordering.h"
+#include "workload/query.h"
 #include "workload/random.h"
-#include "workload/state.h"
+#include "workload/retry_policy.h"
+#include "workload/slow_start.h"
+#include "workload/warm_up.h"
 
 namespace sablelink {
 namespace {
 
+struct Gain {
+  double balance = 0;
+  int interaction = 0;
+  size_t position = 0;
+  double drain_us = 0;
+  bool reachable = false;
+};
+
 constexpr TimeUs kMs = 1'000, kSecond = 1'000'000;
 
 constexpr double kGuard = 0.5;  // c of the design: drain times up to (1 + c) x the smallest compete
@@ -77,9 +91,10 @@
 
 // f of the design: 1 within a table group, but a load makes others of its group stand still.
 int interaction(const Query& a, const Query& b) {
-  if (a.req.table_group < 0 || a.req.table_group != b.req.table_group) return 0;
-  const bool clash = (a.cls->writes_tables && (b.cls->writes_tables || b.cls->blocked_by_table_loads)) ||
-                     (b.cls->writes_tables && a.cls->blocked_by_table_loads);
+  if (a.request.table_group < 0 || a.request.table_group != b.request.table_group) return 0;
+  const bool clash = (a.class_settings->writes_tables &&
+                      (b.class_settings->writes_tables || b.class_settings->blocked_by_table_loads)) ||
+                     (b.class_settings->writes_tables && a.class_settings->blocked_by_table_loads);
   return clash ? -1 : 1;
 }
 
@@ -87,13 +102,8 @@
 
 class WorkloadManager::Impl {
  public:
-  Impl(Settings settings, uint64_t seed) : s_(std::move(settings)), random_(seed), stats_(s_.classes.size()) {
-    for (size_t c = 0; c < stats_.size(); ++c) {
-      // Until answers tell better: half the aim on all threads, as an aim leaves room for about that much.
-      stats_[c].work_us = 0.5 * s_.classes[c].latency_objective_us * s_.classes[c].threads;
-      stats_[c].pace = kFirstPace;
-      most_threads_ = std::max(most_threads_, s_.classes[c].threads);
-    }
+  Impl(Settings settings, uint64_t seed) : s_(std::move(settings)), random_(seed) {
+    for (const ClassSettings& c : s_.classes) most_threads_ = std::max(most_threads_, c.threads);
   }
 
   Impl& at(TimeUs now, WorkloadManagerDelegate& actions) {
@@ -103,51 +113,34 @@
     return *this;
   }
 
-  ClassStats& stats(const Query& q) { return stats_[q.req.class_index]; }
-  const ClassStats& stats(const Query& q) const { return stats_[q.req.class_index]; }
-
-  double work(const Query& q) const {
-    const ClassStats& c = stats(q);
-    return std::max(1.0, q.req.estimated_cost_us ? *q.req.estimated_cost_us * c.cost_ratio : c.work_us);
+  double work(const Query& q) const { return cost_model_.work_us(q); }
+  double slow(const Engine& e) const { return e.latency.current(); }
+  double run_us(const Query& q, const Engine& e) const {
+    return cost_model_.expected_duration_us(q, e, now_);
   }
-
-  double slow(const Engine& e) const { return std::max(e.slow, e.live_slow); }
-
-  // Expected time of an attempt on the engine as things are now.
-  double run_us(const Query& q, const Engine& e) {
-    return work(q) / q.cls->threads * stats(q).pace * slow(e) / warmth(e);
+  double remaining_work(const Query& q, const Engine& e) const {
+    return cost_model_.remaining_work_us(q, e, now_);
   }
+  bool light(const Query& q) const { return cost_model_.is_light(q); }
+  double granted_mb(const Query& q, const Engine& e) const { return cost_model_.memory_grant_mb(q, e); }
+  double warmth(const Engine& e) const { return warmed_capacity_fraction(s_, e.endpoint, now_); }
 
   TimeUs aim_at(const Query& q) {
-    const double aim =
-        q.cls->latency_objective_us + q.cls->latency_objective_stretch * work(q) / q.cls->threads;
-    return std::min(q.arrived + static_cast<TimeUs>(aim), q.req.deadline);
+    const double aim = q.class_settings->latency_objective_us +
+                       q.class_settings->latency_objective_stretch * work(q) / q.class_settings->threads;
+    return std::min(q.arrived_at + static_cast<TimeUs>(aim), q.request.deadline);
   }
 
   double worth_at(const Query& q, double finish) {
-    if (finish <= aim_at(q)) return q.cls->priority_weight;
-    return finish <= q.req.deadline ? q.cls->priority_weight * q.cls->late_weight_fraction : 0;
+    if (finish <= aim_at(q)) return q.class_settings->priority_weight;
+    return finish <= q.request.deadline
+               ? q.class_settings->priority_weight * q.class_settings->late_weight_fraction
+               : 0;
   }
 
   // Past this time an answer is worth nothing.
-  TimeUs last_use(const Query& q) { return q.cls->late_weight_fraction > 0 ? q.req.deadline : aim_at(q); }
-
-  bool cold(const Engine& e) const {
-    return e.entry.started_at > 0 && now_ < e.entry.started_at + s_.slow_start_duration_us;
-  }
-
-  // Share of its capacity that an engine is sure to have. The curve is not told: half of a straight rise.
-  double warmth(const Engine& e) const {
-    if (!cold(e)) return 1;
-    const double age = std::max<double>(0, now_ - e.entry.started_at);
-    return s_.slow_start_min_capacity_fraction +
-           (1 - s_.slow_start_min_capacity_fraction) * 0.5 * age / s_.slow_start_duration_us;
-  }
-
-  double remaining_work(const Query& q, const Engine& e) {
-    const double whole = q.foretold_us > 0 ? q.foretold_us : run_us(q, e);
-    const double left = std::max(whole - (now_ - q.sent_at), 0.15 * whole);
-    return work(q) * std::min(left / std::max(run_us(q, e), 1.0), kClipTimes);
+  TimeUs last_use(const Query& q) {
+    return q.class_settings->late_weight_fraction > 0 ? q.request.deadline : aim_at(q);
   }
 
   // Means over the own running queries stand in for what others hold.
@@ -157,14 +150,16 @@
     for (auto& [id, e] : engines_) {
       const TimeUs gap = now_ - e.averaged_at;
       e.averaged_at = now_;
-      e.own_avg += std::min(1.0, 1.0 * gap / kOthersTauUs) * (e.running.size() - e.own_avg);
-      const double windows = 1.0 * std::min(gap, kStallUs) / std::max<TimeUs>(s_.collapse_window_us, 1);
-      if (cold(e)) e.cold_credit += windows * cold_budget(e);
-      for (const Query* q : e.running) left += remaining_work(*q, e), mb += granted_mb(*q, e);
-      n += e.running.size();
-      threads += e.own_threads();
-      if (e.entry.state != EndpointState::kReady) continue;
-      own_all_ += e.own_threads();
+      e.own_avg += std::min(1.0, 1.0 * gap / kOthersTauUs) * (e.in_flight.size() - e.own_avg);
+      slow_start_.accrue_credit(e, now_);
+      for (const Query* q : e.in_flight) {
+        left += remaining_work(*q, e);
+        mb += granted_mb(*q, e);
+      }
+      n += e.in_flight.size();
+      threads += e.in_flight_threads();
+      if (e.endpoint.state != EndpointState::kReady) continue;
+      own_all_ += e.in_flight_threads();
       fleet_bound_ += run_bound(e);
       fleet_cores_ += e.cores;
     }
@@ -203,28 +198,29 @@
 
   // The bound binds only under pressure: a busy report or a recent 'full'.
   bool pressed(const Engine& e) const {
-    return e.own_threads() + others(e) * held_threads_ >= kPressedShare * run_bound(e) ||
+    return e.in_flight_threads() + others(e) * held_threads_ >= kPressedShare * run_bound(e) ||
            (e.full_at > 0 && now_ - e.full_at < kSecond);
   }
 
   double free_threads(const Engine& e) const {
-    return (pressed(e) ? allowance(e) : std::max(allowance(e), run_bound(e))) - e.own_threads();
+    return (pressed(e) ? allowance(e) : std::max(allowance(e), run_bound(e))) - e.in_flight_threads();
   }
 
   // Where the whole fleet is over its bound, heavy queries wait until this gateway holds less than its part.
   bool fits(const Query& q, double free) const {
-    if (free < kFitShare * q.cls->threads) return false;
+    if (free < kFitShare * q.class_settings->threads) return false;
     const double held = own_all_ + fleet_mean() * fleet_cores_ * held_threads_;
     if (light(q) && s_.memory_pressure_policy != MemoryPressurePolicy::kOvercommit) return true;
     const double share = light(q) ? kLightShare : s_.engines_honor_priorities ? 1 : kUnrankedShare;
     if (held <= share * fleet_bound_) return true;
-    return own_all_ + kFitShare * q.cls->threads <= std::max(fleet_bound_ / s_.gateway_count, most_threads_);
+    return own_all_ + kFitShare * q.class_settings->threads <=
+           std::max(fleet_bound_ / s_.gateway_count, most_threads_);
   }
 
   // Time for all that the engine is known to hold and to be about to get.
   double drain_us(Engine& e) {
     double left = others(e) * held_work_;
-    for (const Query* q : e.running) left += remaining_work(*q, e);
+    for (const Query* q : e.in_flight) left += remaining_work(*q, e);
     for (const Query* q : e.queue) left += work(*q);
     return left * slow(e) / run_bound(e);
   }
@@ -232,10 +228,10 @@
   // Algorithm 8: the best position by balance gain, ties to the higher interaction gain, then to the end.
   // Starts are worked out anew each time from what still runs, so an overrunning query moves those behind it.
   Gain evaluate(Engine& e, Query& q) {
-    const double free = free_threads(e), rate = allowance(e) / (pace_ * slow(e));
+    const double free = free_threads(e), rate = allowance(e) / (cost_model_.service_time_ratio() * slow(e));
     double out_work = 0;
-    for (const Query* r : e.running) out_work += remaining_work(*r, e);
-    out_work /= (e.running.size() + 1);
+    for (const Query* r : e.in_flight) out_work += remaining_work(*r, e);
+    out_work /= (e.in_flight.size() + 1);
     const auto start = [&](double threads_ahead, double work_ahead) -> double {
       if (fits(q, free - threads_ahead)) return now_;
       return now_ + kWaitMargin * (out_work + work_ahead) / rate;
@@ -249,8 +245,8 @@
       begins[k] = start(threads, ahead);
       const double other_run = run_us(other, e);
       loss[k] = worth_at(other, begins[k] + other_run) -
-                worth_at(other, start(threads + q.cls->threads, ahead + own) + other_run);
-      threads += other.cls->threads;
+                worth_at(other, start(threads + q.class_settings->threads, ahead + own) + other_run);
+      threads += other.class_settings->threads;
       ahead += work(other);
     }
     begins[n] = start(threads, ahead);
@@ -275,9 +271,9 @@
   static int interaction_at(const Engine& e, const Query& q, size_t j) {
     const Query* after = j < e.queue.size() ? e.queue[j] : nullptr;
     if (e.queue.empty()) {
-      for (const Query* r : e.running)
+      for (const Query* r : e.in_flight)
         if (interaction(*r, q) < 0) return -1;
-      return q.req.table_group >= 0 && q.req.table_group == e.last_group;
+      return q.request.table_group >= 0 && q.request.table_group == e.last_table_group;
     }
     if (j == 0) return interaction(q, *after);
     const Query& before = *e.queue[j - 1];
@@ -288,13 +284,15 @@
   // time, the same zone counting for a little, and to a seeded pick.
   void place(Query& q) {
     q.engine = nullptr;
-    if (now_ < q.probes_until || !has_turn(q)) return hold(q, true);
+    if (now_ < q.health_checks_awaited_until || !key_ordering_.may_start(q, now_)) return hold(q, true);
     std::vector<std::pair<Engine*, Gain>> options;
     bool later = false;
     for (int pass = 0; pass < 2 && options.empty(); ++pass)
       for (auto& [id, e] : engines_) {
-        if (pass == 0 && (id == q.avoid || erred_on(q, id))) continue;  // elsewhere first after a wrong one
-        if (!allowed_target(q, e) || !effect_safe(q, e)) continue;      // no wait changes these
+        if (pass == 0 && (id == q.avoided_engine || erred_on(q, id)))
+          continue;  // elsewhere first after a wrong one
+        if (!allowed_target(q, e) || !retry_policy_.is_safe_on(q, e.endpoint, now_))
+          continue;  // no wait changes these
         if (may_send(q, e) && in_service(q, e))
           options.emplace_back(&e, evaluate(e, q));
         else
@@ -317,7 +315,7 @@
     int ties = 0;
     for (const auto& [e, g] : options) {
       if (g.drain_us > guard) continue;
-      const bool far = e->entry.zone != s_.zone && s_.cross_zone_cost > 0;
+      const bool far = e->endpoint.zone != s_.zone && s_.cross_zone_cost > 0;
       const double cost = g.drain_us + (far ? kZoneDetourUs : 0);
       const bool level = best && g.interaction == best->interaction, tie = level && cost == best_cost;
       const bool better = !best || g.interaction > best->interaction || (level && cost < best_cost);
@@ -332,11 +330,11 @@
   // The other gateways' last queries aren't seen, so all agree on homes of a table group,
   // the engines of highest rendezvous weight, and count them as neighbours.
   void add_home_gain(const Query& q, std::vector<std::pair<Engine*, Gain>>& options) {
-    if (q.req.table_group < 0) return;
+    if (q.request.table_group < 0) return;
     std::vector<std::pair<double, Gain*>> order;
     for (auto& [e, g] : options) {
-      const double u = unit(mix(e->entry.engine * 0x9e3779b97f4a7c15ull ^ q.req.table_group));
-      const double far = e->entry.zone != s_.zone && s_.cross_zone_cost > kCheapCrossing ? kFarHome : 1;
+      const double u = unit(mix(e->endpoint.engine * 0x9e3779b97f4a7c15ull ^ q.request.table_group));
+      const double far = e->endpoint.zone != s_.zone && s_.cross_zone_cost > kCheapCrossing ? kFarHome : 1;
       order.emplace_back(-std::log(u + 1e-12) / e->cores * far, &g);
     }
     const size_t homes = std::min<size_t>(order.size(), kHomes);
@@ -349,7 +347,7 @@
   bool ask_first(Query& q, const std::vector<std::pair<Engine*, Gain>>& options) {
     const bool pays = s_.health_checks_allowed && s_.load_reports_in_health_checks &&
                       kProbes * s_.health_check_cost <= kProbeFeeMost;
-    if (!pays || light(q) || q.probes_until > 0) return false;
+    if (!pays || light(q) || q.health_checks_awaited_until > 0) return false;
     std::vector<std::pair<double, Engine*>> order;
     for (const auto& [e, g] : options)
       if (e->probe_at == 0 && (!e->heard || now_ - e->report_at > kProbeFreshUs))
@@ -358,9 +356,9 @@
     std::partial_sort(order.begin(), order.begin() + asked, order.end());
     for (size_t k = 0; k < asked; ++k) {
       order[k].second->probe_at = now_;
-      act_->check_health(order[k].second->entry.engine);
+      act_->check_health(order[k].second->endpoint.engine);
     }
-    if (asked > 0) q.probes_until = now_ + 3 * s_.tick_us;
+    if (asked > 0) q.health_checks_awaited_until = now_ + 3 * s_.tick_us;
     return asked > 0;
   }
 
@@ -398,7 +396,7 @@
   // An engine with room and an empty queue takes over a query that waits for a longer drain elsewhere: plans
   // go stale. What is late stays where it is.
   void draw_in(Engine& e, const std::vector<Engine*>& sources) {
-    while (e.queue.empty() && e.entry.state == EndpointState::kReady) {
+    while (e.queue.empty() && e.endpoint.state == EndpointState::kReady) {
       const double room = free_threads(e), own_drain = drain_us(e);
       Query* best = nullptr;
       int together = 0;
@@ -422,45 +420,30 @@
   void send(Query& q, Engine& e) {
     note_send(q, e, q.attempts > 0);
     if (s_.engines_honor_priorities || s_.engines_honor_grants) {
-      q.priority = s_.engines_honor_priorities ? priority(q) : 1;
-      act_->set_execution_hints(q.req.id, q.priority, s_.engines_honor_grants ? granted_mb(q, e) : 0);
+      const int level = s_.engines_honor_priorities ? priority(q) : 1;
+      act_->set_execution_hints(q.request.id, level, s_.engines_honor_grants ? granted_mb(q, e) : 0);
     }
-    act_->send_attempt(q.req.id, e.entry.engine, s_.cancellation_allowed ? 0 : patience(q, e));
-    q.out = true;
-    q.cancelling = false;
+    act_->send_attempt(q.request.id, e.endpoint.engine, s_.cancellation_allowed ? 0 : patience(q, e));
+    q.attempt_in_flight = true;
+    q.cancel_requested = false;
     q.engine = &e;
     q.sent_at = now_;
-    q.foretold_us = 0;
+    q.predicted_duration_us = 0;
     ++q.attempts;
-    e.running.push_back(&q);
-    own_all_ += q.cls->threads;
-    e.last_group = q.req.table_group;
+    e.in_flight.push_back(&q);
+    own_all_ += q.class_settings->threads;
+    e.last_table_group = q.request.table_group;
   }
 
   // Light queries first; what is late yields, or, its cost not told, may well be late.
   int priority(const Query& q) {
-    return now_ > aim_at(q) ? 0 : light(q) ? 3 : q.req.estimated_cost_us ? 1 : 0;
-  }
-
-  bool light(const Query& q) const {
-    double all = 0;
-    for (const ClassStats& c : stats_) all += c.work_us;
-    return work(q) < all / stats_.size();
-  }
-
-  double granted_mb(const Query& q, const Engine& e) const {
-    const ClassStats& c = stats(q);
-    const double margin = s_.engines_honor_grants ? kGrantMargin : kEngineMargin;
-    const double grant =
-        margin * (q.req.estimated_memory_mb > 0 ? q.req.estimated_memory_mb * c.memory_ratio : c.memory_mb);
-    const bool told = e.entry.engine_type < static_cast<int>(s_.engine_type_memory_mb.size());
-    return told ? std::min(grant, s_.max_grant_fraction * s_.engine_type_memory_mb[e.entry.engine_type])
-                : grant;
+    return now_ > aim_at(q) ? 0 : light(q) ? 3 : q.request.estimated_cost_us ? 1 : 0;
   }
 
   // Where attempts can't be cancelled, a time-out has to end a bad plan.
   TimeUs patience(const Query& q, const Engine& e) {
-    if (q.attempts + 1 >= s_.max_attempts || q.cls->idempotency != Idempotency::kIdempotent) return 0;
+    if (q.attempts + 1 >= s_.max_attempts || q.class_settings->idempotency != Idempotency::kIdempotent)
+      return 0;
     return static_cast<TimeUs>(2 * kBadPlanTimes * run_us(q, e)) + kBadPlanFloorUs;
   }
 
@@ -469,86 +452,42 @@
   // The final answer, at once. Refused where that is allowed, as only then the client knows it may come back.
   void conclude(Query& q, bool owed = true) {
     unqueue(q);
-    if (!q.finished) {
-      if (owed && !may_refuse(q))
-        act_->fail(q.req.id);
+    if (!q.completed) {
+      if (owed && !RetryPolicy::may_reject(q))
+        act_->fail(q.request.id);
       else if (owed)
-        act_->reject(q.req.id, s_.clients_honor_retry_after ? retry_after() : 0);
-      if (q.out && s_.cancellation_allowed && !q.streaming) act_->cancel_attempt(q.req.id, q.attempts - 1);
-      q.finished = true;
+        act_->reject(q.request.id, s_.clients_honor_retry_after ? retry_after() : 0);
+      if (q.attempt_in_flight && s_.cancellation_allowed && !q.response_started)
+        act_->cancel_attempt(q.request.id, q.attempts - 1);
+      q.completed = true;
     }
-    if (!q.out) forget(q);
+    if (!q.attempt_in_flight) forget(q);
   }
 
   TimeUs retry_after() {
     double least = s_.max_retry_after_us;
     for (auto& [id, e] : engines_)
-      if (e.entry.state == EndpointState::kReady) least = std::min(least, drain_us(e));
+      if (e.endpoint.state == EndpointState::kReady) least = std::min(least, drain_us(e));
     return std::min(std::max(static_cast<TimeUs>(least), kRetryAfterLeastUs), s_.max_retry_after_us);
   }
 
   void unqueue(Query& q) {
     std::erase(waiting_, &q);
-    if (q.engine && !q.out) {
+    if (q.engine && !q.attempt_in_flight) {
       std::erase(q.engine->queue, &q);
       q.engine = nullptr;
     }
   }
 
   void forget(Query& q) {
-    if (const auto it = turns_.find(q.req.key); it != turns_.end() && q.cls->ordered_by_key) {
-      std::erase(it->second.line, q.req.id);
-      if (it->second.line.empty() && it->second.rest_until <= now_) turns_.erase(it);
-    }
-    queries_.erase(q.req.id);
-  }
-
-  void learn_answer(Query& q, Engine& e, const AttemptCompletion& end) {
-    ClassStats& c = stats(q);
-    const double took = std::max<double>(1, end.duration_us);
-    // Work not told: the estimate stands in, and paces then hold its error too; else work by the pace known.
-    const bool known = end.work_us || q.req.estimated_cost_us;
-    const double told = end.work_us ? *end.work_us : known ? work(q) : took * q.cls->threads / c.pace;
-    if (told <= 0) return;
-    const double rate = std::max(kLearnRate, 1 / (c.answers + 2));
-    if (q.req.estimated_cost_us && *q.req.estimated_cost_us > 0 && end.work_us)
-      c.cost_ratio += rate * (std::min(told / *q.req.estimated_cost_us, kClipTimes) - c.cost_ratio);
-    const double off = std::min(told, kClipTimes * c.work_us) - c.work_us;
-    c.work_variance += rate * ((1 - rate) * off * off - c.work_variance);
-    c.work_us += rate * off;
-    if (end.memory_used_mb && *end.memory_used_mb > 0) {
-      c.memory_mb += (c.answers == 0 ? 1 : rate) * (*end.memory_used_mb - c.memory_mb);
-      if (q.req.estimated_memory_mb > 0)
-        c.memory_ratio += rate * (*end.memory_used_mb / q.req.estimated_memory_mb - c.memory_ratio);
-    }
-    c.answers += 1;
-    if (!known || now_ == woke_at_) return;  // without either, work and pace can't be told apart
-    const double pace = std::clamp(took * q.cls->threads / told, 0.3, 30.0);
-    const double against_fleet = std::clamp(pace / c.pace, 0.25, 4.0);
-    learn_slow(e, against_fleet);
-    c.pace *= std::pow(against_fleet, kPaceRate / 2);
-    pace_ *= std::pow(std::clamp(pace / pace_, 0.25, 4.0), kPaceRate / 4);
-  }
-
-  // An engine's slow factor; rare news counts for more.
-  void learn_slow(Engine& e, double against_fleet) {
-    const double gap = now_ - std::max(e.slow_at, started_at_);
-    const double rate = std::clamp(1 - std::exp(-gap / kForgetSlowUs), kPaceRate, kRareRate);
-    e.slow = std::clamp(e.slow * std::pow(against_fleet / e.slow, rate), 0.5, kSlowMost);
-    e.slow_at = now_;
-  }
-
-  // An attempt cut short took at least as long as it was out. Else one that jams or ages is never judged,
-  // as answers come only from the others. Hurts a little where a bad plan was at fault.
-  void learn_cut(const Query& q, Engine& e, TimeUs took) {
-    const double times = took / (run_us(q, e) / slow(e));
-    if (times > std::max(kCutTimes, e.slow) && took > kBadPlanFloorUs) learn_slow(e, std::min(times, 4.0));
+    key_ordering_.remove(q, now_);
+    queries_.erase(q.request.id);
   }
 
   void retry_or_conclude(Query& q) {
     if (at_fault(q))
-      q.erred.clear();
-    else if (q.attempts < s_.max_attempts && within_budget(q) && last_use(q) > now_)
+      q.failed_engines.clear();
+    else if (q.attempts < s_.max_attempts && retry_policy_.has_budget_for(q, now_) && last_use(q) > now_)
       return place(q);
     settle_errors(q);
     conclude(q);
@@ -558,32 +497,34 @@
   bool overdue(const Query& q, const Engine& e) {
     const double age = (now_ - q.sent_at), expected = run_us(q, e);
     if (age < kBadPlanFloorUs) return false;
-    return q.foretold_us > 0 ? q.foretold_us > kBadPlanPace * expected : age > kBadPlanTimes * expected;
+    return q.predicted_duration_us > 0 ? q.predicted_duration_us > kBadPlanPace * expected
+                                       : age > kBadPlanTimes * expected;
   }
 
   bool worth_another(const Query& q, const Engine& e) {
-    const int heavy = q.req.estimated_cost_us ? kHeavyAfterTold : kHeavyAfterUntold;
+    const int heavy = q.request.estimated_cost_us ? kHeavyAfterTold : kHeavyAfterUntold;
     const double fresh = run_us(q, e);
-    return s_.cancellation_allowed && !q.cancelling && !q.streaming && q.slow_seen < heavy &&
-           q.attempts < s_.max_attempts && q.cls->idempotency == Idempotency::kIdempotent &&
-           within_budget(q) && now_ + fresh < last_use(q);
+    return s_.cancellation_allowed && !q.cancel_requested && !q.response_started &&
+           q.cancelled_stragglers < heavy && q.attempts < s_.max_attempts &&
+           q.class_settings->idempotency == Idempotency::kIdempotent &&
+           retry_policy_.has_budget_for(q, now_) && now_ + fresh < last_use(q);
   }
 
   void cancel_attempt(Query& q) {
-    q.cancelling = true;
-    act_->cancel_attempt(q.req.id, q.attempts - 1);
+    q.cancel_requested = true;
+    act_->cancel_attempt(q.request.id, q.attempts - 1);
   }
 
   // Takes the query? An ejected engine gets, after its rest, one short query at a time as a trial.
   bool in_service(const Query& q, const Engine& e) {
     if (e.ejected_until == 0) return true;
-    return now_ >= e.ejected_until && e.running.empty() && e.queue.empty() && light(q);
+    return now_ >= e.ejected_until && e.in_flight.empty() && e.queue.empty() && light(q);
   }
 
   void eject(Engine& e, const char* why, bool unreachable = false) {
     size_t ready = 0, out = 0;
     for (const auto& [id, other] : engines_) {
-      if (other.entry.state != EndpointState::kReady) continue;
+      if (other.endpoint.state != EndpointState::kReady) continue;
       ++ready;
       if (other.ejected_until != 0) ++out;
     }
@@ -594,9 +535,9 @@
     e.eject_for = std::min(2 * e.eject_for, kEjectMostUs);
     e.trial_oks = 0;
     requeue(e);
-    if (e.running.size() < 2) return;  // with one there, the check on late attempts decides
-    for (Query* q : std::vector<Query*>(e.running))
-      if (!q->finished && worth_another(*q, e)) cancel_attempt(*q);
+    if (e.in_flight.size() < 2) return;  // with one there, the check on late attempts decides
+    for (Query* q : std::vector<Query*>(e.in_flight))
+      if (!q->completed && worth_another(*q, e)) cancel_attempt(*q);
   }
 
   void requeue(Engine& e) {
@@ -616,7 +557,7 @@
       e.ejected_until = 0;
       e.eject_for = kEjectUs;
       e.errors = std::min(e.errors, kErrEject / 2);
-      e.slow = 1;
+      e.latency.ratio = 1;
       act_->log("engine back in service");
     } else if (bad && (e.ejected_until != 0 || e.errors > kErrEject)) {
       eject(e, unreachable ? "unreachable" : "failures", unreachable);
@@ -627,29 +568,29 @@
   // wrong on several blames none, and is over. Else a flood of such requests would take the fleet out.
   void learn_error(Query& q, Engine& e) {
     e.life_at = now_;
-    if (!erred_on(q, e.entry.engine)) q.erred.push_back(e.entry.engine);
-    q.erred_at = now_;
+    if (!erred_on(q, e.endpoint.engine)) q.failed_engines.push_back(e.endpoint.engine);
+    q.last_error_at = now_;
   }
 
   static bool erred_on(const Query& q, EngineId id) {
-    return std::find(q.erred.begin(), q.erred.end(), id) != q.erred.end();
+    return std::find(q.failed_engines.begin(), q.failed_engines.end(), id) != q.failed_engines.end();
   }
 
   bool at_fault(const Query& q) const {
     size_t ready = 0;
     for (const auto& [id, e] : engines_) ready += allowed_target(q, e);
-    return q.erred.size() >= std::max<size_t>(2, std::min(kErrProves, ready));
+    return q.failed_engines.size() >= std::max<size_t>(2, std::min(kErrProves, ready));
   }
 
   void settle_errors(Query& q) {
-    for (const EngineId id : std::exchange(q.erred, {}))
+    for (const EngineId id : std::exchange(q.failed_engines, {}))
       if (const auto it = engines_.find(id); it != engines_.end()) learn_health(it->second, Outcome::kError);
   }
 
   void settle_doubted() {
     std::vector<RequestId> doubted;
     for (const auto& [id, q] : queries_)
-      if (!q.erred.empty() && now_ - q.erred_at > kErrDoubtUs) doubted.push_back(id);
+      if (!q.failed_engines.empty() && now_ - q.last_error_at > kErrDoubtUs) doubted.push_back(id);
     for (const RequestId id : doubted)  // one may end others, as engines are taken out
       if (const auto it = queries_.find(id); it != queries_.end()) settle_errors(it->second);
   }
@@ -662,21 +603,21 @@
     std::vector<Query*> found;
     std::vector<Engine*> silent, lone;
     for (auto& [id, e] : engines_) {
-      if (e.slow > 1 && now_ - e.slow_at > kSecond) e.slow += (1 - e.slow) * kHousekeepingUs / kForgetSlowUs;
-      const size_t n = e.running.size();
+      CostModel::decay_latency_ratio(e, kHousekeepingUs, now_);
+      const size_t n = e.in_flight.size();
       size_t late = 0;
       double against = 0;
-      for (Query* q : e.running) {
+      for (Query* q : e.in_flight) {
         const double age = (now_ - q->sent_at), expected = run_us(*q, e) / slow(e);
         against += std::min(age / expected, kSlowMost);
         if (age > kBadPlanTimes * expected + kBadPlanFloorUs && q->sent_at >= e.life_at) ++late;
         const bool counts = e.ejected_until == 0;  // an engine taken out is no news
         all += counts;
-        if (q->finished || !overdue(*q, e)) continue;
+        if (q->completed || !overdue(*q, e)) continue;
         overdue_now += counts;
         if (worth_another(*q, e)) found.push_back(q);
       }
-      e.live_slow = n >= 2 ? std::max(1.0, against / n) : 1.0;
+      e.latency.in_flight_ratio = n >= 2 ? std::max(1.0, against / n) : 1.0;
       const TimeUs quiet = now_ - e.life_at;
       if (e.ejected_until > now_ || late == 0 || quiet <= (late >= 2 ? kSilenceUs : 2 * kSilenceUs)) continue;
       (late >= 2 ? silent : lone).push_back(&e);
@@ -685,7 +626,7 @@
     const bool shared = (overdue_now > 2 && overdue_now > kSharedShare * all) || late_share_ > kSharedShare;
     for (Query* q : found) {
       if (shared) break;
-      ++q->slow_seen;
+      ++q->cancelled_stragglers;
       cancel_attempt(*q);
     }
     for (Engine* e : silent) eject(*e, "silence");
@@ -698,9 +639,10 @@
   std::optional<double> held_by(const LoadReport& r, const Engine& e) const {
     const auto usable = [](const std::optional<double>& v) { return v && std::isfinite(*v) && *v >= 0; };
     if (usable(r.in_flight)) return *r.in_flight;
-    const bool told = e.entry.engine_type < static_cast<int>(s_.engine_type_memory_mb.size()) && held_mb_ > 0;
+    const bool told =
+        e.endpoint.engine_type < static_cast<int>(s_.engine_type_memory_mb.size()) && held_mb_ > 0;
     const double filled =
-        told ? s_.engine_type_memory_mb[e.entry.engine_type] / held_mb_ : 0;  // queries that fill it
+        told ? s_.engine_type_memory_mb[e.endpoint.engine_type] / held_mb_ : 0;  // queries that fill it
     std::optional<double> held;
     if (usable(r.cpu_utilization)) held = *r.cpu_utilization * e.cores * kThreadsPerCore / held_threads_;
     if (usable(r.memory_utilization) && told)
@@ -731,123 +673,45 @@
     const auto within = [](const std::vector<int>& only, int value) {
       return only.empty() || std::find(only.begin(), only.end(), value) != only.end();
     };
-    return e.entry.state == EndpointState::kReady && within(q.cls->allowed_zones, e.entry.zone) &&
-           within(q.cls->allowed_engine_types, e.entry.engine_type);
+    return e.endpoint.state == EndpointState::kReady &&
+           within(q.class_settings->allowed_zones, e.endpoint.zone) &&
+           within(q.class_settings->allowed_engine_types, e.endpoint.engine_type);
   }
 
   // The one gate that every send passes.
   bool may_send(const Query& q, Engine& e) {
-    return !q.finished && !q.out && now_ < q.req.deadline && q.attempts < s_.max_attempts &&  // rules 1 and 2
-           allowed_target(q, e) &&                                                            // rules 3 and 6
-           effect_safe(q, e) &&                                                               // rule 2
-           cold_room(q, e) &&                                                                 // rule 4
-           has_turn(q) &&                                                                     // rule 5
-           within_budget(q);                                                                  // rule 7
+    return !q.completed && !q.attempt_in_flight && now_ < q.request.deadline &&
+           q.attempts < s_.max_attempts &&                   // rules 1 and 2
+           allowed_target(q, e) &&                           // rules 3 and 6
+           retry_policy_.is_safe_on(q, e.endpoint, now_) &&  // rule 2
+           slow_start_.has_budget_for(q, e, now_) &&         // rule 4
+           key_ordering_.may_start(q, now_) &&               // rule 5
+           retry_policy_.has_budget_for(q, now_);            // rule 7
   }
 
   void note_send(const Query& q, Engine& e, bool further) {
-    if (cold(e)) {
-      e.cold_sent.push_back({now_, q.req.id, stats(q).work_us, cold_variance(q, e)});
-      e.cold_credit = 0;
-      e.cold_draw = random_.draw();
-    }
-    if (further) extra_at_.push_back(now_);
+    slow_start_.record_send(q, e, now_);
+    if (further) retry_policy_.record_retry(now_);
   }
 
   // The same where a send leaves later than it was decided: what may have changed holds still, and it counts
   // from now. Credit is spent at the decision.
   bool may_leave(RequestId id, int attempt) {
     Query* const q = attempted(id, attempt);
-    if (!q || q->finished) return false;
+    if (!q || q->completed) return false;
     Engine& e = *q->engine;
-    const auto own = [&](const Engine::ColdSend& sent) { return sent.id == id && sent.at == q->sent_at; };
-    const bool counted = std::erase_if(e.cold_sent, own) > 0 && cold_budget(e) >= heaviest();
-    const auto extra = std::find(extra_at_.begin(), extra_at_.end(), q->sent_at);
-    if (attempt > 0 && extra != extra_at_.end()) extra_at_.erase(extra);
-    const bool room = (!counted || cold_room(*q, e)) && (attempt == 0 || within_budget(*q));
-    if (!room || !allowed_target(*q, e) || !effect_safe(*q, e)) return false;
+    const bool counted = slow_start_.remove_send(*q, e, now_);
+    if (attempt > 0) retry_policy_.remove_retry(q->sent_at);
+    const bool room = (!counted || slow_start_.has_budget_for(*q, e, now_)) &&
+                      (attempt == 0 || retry_policy_.has_budget_for(*q, now_));
+    if (!room || !allowed_target(*q, e) || !retry_policy_.is_safe_on(*q, e.endpoint, now_)) return false;
     note_send(*q, e, attempt > 0);
     return true;
   }
 
-  // Rule 2: what may have run is sent again only where repeats are dropped, and only while they are.
-  bool effect_safe(const Query& q, const Engine& e) const {
-    if (!q.may_have_run || q.cls->idempotency == Idempotency::kIdempotent) return true;
-    if (q.cls->idempotency == Idempotency::kNotIdempotent) return false;
-    return now_ + s_.max_send_delay_us <= q.ran_since + q.cls->dedup_window_us &&
-           (q.cls->dedup_scope == DedupScope::kAll ||
-            (q.cls->dedup_scope == DedupScope::kZone && q.ran_on.zone == e.entry.zone) ||
-            (q.cls->dedup_scope == DedupScope::kCell && q.ran_on.cell == e.entry.cell));
-  }
-
-  bool may_refuse(const Query& q) const {
-    if (q.cls->idempotency == Idempotency::kIdempotent || !(q.may_have_run || q.out)) return true;
-    return q.cls->idempotency == Idempotency::kIdempotentWithKey && q.cls->dedup_scope == DedupScope::kAll;
-  }
-
-  // Rule 4: this gateway's equal part of what a cold engine bears within the window. Queries weigh their
-  // class's usual work; what they really cost strays from it, all gateways' independently, so that each need
-  // leave only its root of the room for chance.
-  bool cold_room(const Query& q, Engine& e) {
-    if (!cold(e) || s_.collapse_window_us <= 0) return true;
-    const double window = s_.collapse_window_us;
-    while (!e.cold_sent.empty() && (now_ - e.cold_sent.front().at) > kColdWindow * window)
-      e.cold_sent.pop_front();
-    double sent = stats(q).work_us, variance = cold_variance(q, e);
-    if (cold_budget(e) < heaviest()) return e.cold_credit >= cold_price(q, e);
-    for (const auto& before : e.cold_sent) sent += before.work_us, variance += before.variance;
-    return sent + kColdSpread * std::sqrt(variance / std::max(1, s_.gateway_count)) <= cold_budget(e);
-  }
-
-  double heaviest() const {
-    double most = 0;
-    for (const ClassStats& c : stats_) most = std::max(most, c.work_us);
-    return most;
-  }
-
-  // What the query adds to the variance of the work sent. Sent there again, it strays just as it did before.
-  double cold_variance(const Query& q, const Engine& e) const {
-    const auto same = [&](const Engine::ColdSend& before) { return before.id == q.req.id; };
-    const auto earlier = q.attempts == 0 ? 0 : std::count_if(e.cold_sent.begin(), e.cold_sent.end(), same);
-    return (1.0 + 2.0 * earlier) * stats(q).work_variance;
-  }
-
-  double cold_budget(const Engine& e) const {
-    return s_.collapse_load_multiple * warmth(e) * e.cores * kColdRate * s_.collapse_window_us /
-           std::max(1, s_.gateway_count);
-  }
-
-  // Where an equal part is under one query: in the mean all gateways together send what leaves room for
-  // chance, kColdSigmas deviations of a sum of such queries. Credit grows from 0.
-  double cold_price(const Query& q, const Engine& e) {
-    const double w = stats(q).work_us, spread = w + stats(q).work_variance / std::max(w, 1.0);
-    const double half = kColdSigmas * std::sqrt(spread) / 2;
-    const double all = cold_budget(e) * std::max(1, s_.gateway_count);
-    const double mean = std::pow(std::sqrt(half * half + all) - half, 2);
-    return 2 * e.cold_draw * w * all / mean;
-  }
-
-  // Rule 5: the front of its key's line, and the key has rested.
-  bool has_turn(const Query& q) const {
-    if (!q.cls->ordered_by_key || q.req.key == 0) return true;
-    const auto it = turns_.find(q.req.key);
-    return it != turns_.end() && !it->second.line.empty() && it->second.line.front() == q.req.id &&
-           (q.attempts > 0 || now_ >= it->second.rest_until);
-  }
-
-  // Rule 7: attempts beyond the first within the window. An attempt counts as it leaves, which may be up to
-  // the lag after its decision: any decided within window and lag may stand together in one window.
-  bool within_budget(const Query& q) {
-    if (q.attempts == 0 || !s_.retry_budget_enabled) return true;
-    while (!extra_at_.empty() && now_ - extra_at_.front() > s_.retry_budget_window_us + s_.max_send_delay_us)
-      extra_at_.pop_front();
-    while (!taken_at_.empty() && now_ - taken_at_.front() >= s_.retry_budget_window_us - s_.max_send_delay_us)
-      taken_at_.pop_front();
-    return (extra_at_.size() + 1) <= s_.retry_budget_base + s_.retry_budget_per_request * taken_at_.size();
-  }
-
   void on_start() {
     started_at_ = now_;
+    cost_model_.on_start(now_);
     if (s_.watch_endpoints) act_->watch_endpoints(true);
     act_->set_timer(kHousekeepingUs, kHousekeepingToken);
   }
@@ -864,32 +728,30 @@
       const auto it = engines_.find(entry.engine);
       if (it == engines_.end() && entry.state == EndpointState::kRemoved) continue;
       Engine& e = it == engines_.end() ? engines_[entry.engine] : it->second;
-      const bool fresh = it == engines_.end() || entry.started_at > e.entry.started_at;
+      const bool fresh = it == engines_.end() || entry.started_at > e.endpoint.started_at;
       if (fresh) {  // nothing learned of its former life holds
         Engine anew;
         anew.queue.swap(e.queue);
-        anew.running.swap(e.running);
+        anew.in_flight.swap(e.in_flight);
         e = std::move(anew);
       }
-      e.entry = entry;
+      e.endpoint = entry;
       const bool told = entry.engine_type < static_cast<int>(s_.engine_type_cores.size()) &&
                         s_.engine_type_cores[entry.engine_type] > 0;
       e.cores = told ? s_.engine_type_cores[entry.engine_type] : kDefaultCores;
       if (!fresh) continue;
       e.eject_for = kEjectUs;
       e.life_at = e.averaged_at = now_;
-      e.cold_draw = random_.draw();
-      // A gateway that has just started may have spent its budget in its former life.
-      if (now_ - started_at_ <= s_.collapse_window_us && cold(e))
-        e.cold_sent.push_back({now_, 0, cold_budget(e), 0});
+      slow_start_.on_engine_started(e, started_at_, now_);
     }
     for (auto& [id, e] : engines_)
-      if (form != EndpointUpdateKind::kDelta && !named.contains(id)) e.entry.state = EndpointState::kRemoved;
+      if (form != EndpointUpdateKind::kDelta && !named.contains(id))
+        e.endpoint.state = EndpointState::kRemoved;
     refresh_fleet();
     for (auto& [id, e] : engines_)
-      if (e.entry.state != EndpointState::kReady) requeue(e);
+      if (e.endpoint.state != EndpointState::kReady) requeue(e);
     std::erase_if(engines_, [](const auto& item) {
-      return item.second.entry.state == EndpointState::kRemoved && item.second.running.empty();
+      return item.second.endpoint.state == EndpointState::kRemoved && item.second.in_flight.empty();
     });
     serve_waiting();
   }
@@ -901,23 +763,24 @@
     }
     if (queries_.contains(request.id)) return;
     Query& q = queries_[request.id];
-    q.req = request;
-    q.cls = &s_.classes[request.class_index];
-    q.arrived = now_;
-    if (s_.retry_budget_enabled) taken_at_.push_back(now_);
-    if (q.cls->ordered_by_key && request.key != 0) turns_[request.key].line.push_back(request.id);
+    q.request = request;
+    q.class_settings = &s_.classes[request.class_index];
+    q.arrived_at = now_;
+    retry_policy_.record_request(now_);
+    key_ordering_.add(q);
     place(q);
   }
 
   // The query whose latest attempt this is, if that is out.
   Query* attempted(RequestId id, int attempt) {
     const auto it = queries_.find(id);
-    if (it == queries_.end() || !it->second.out || attempt != it->second.attempts - 1) return nullptr;
+    if (it == queries_.end() || !it->second.attempt_in_flight || attempt != it->second.attempts - 1)
+      return nullptr;
     return &it->second;
   }
 
   void on_stream_started(RequestId id, int attempt) {
-    if (Query* q = attempted(id, attempt)) q->streaming = true;
+    if (Query* q = attempted(id, attempt)) q->response_started = true;
   }
 
   void on_attempt_end(const AttemptCompletion& end) {
@@ -927,39 +790,36 @@
     if (!found) return;
     Query& q = *found;
     Engine& e = *q.engine;
-    std::erase(e.running, &q);
-    own_all_ -= q.cls->threads;
-    q.out = false;
+    std::erase(e.in_flight, &q);
+    own_all_ -= q.class_settings->threads;
+    q.attempt_in_flight = false;
     q.engine = nullptr;
-    const bool cancelled = std::exchange(q.cancelling, false);
+    const bool cancelled = std::exchange(q.cancel_requested, false);
     const bool never_ran = end.outcome == Outcome::kOverloaded || end.outcome == Outcome::kConnectFailed ||
                            end.outcome == Outcome::kSuperseded;
     if (!never_ran && !q.may_have_run) {
       q.may_have_run = true;
-      q.ran_on = e.entry;
-      q.ran_since = q.sent_at;
+      q.first_run_endpoint = e.endpoint;
+      q.first_run_at = q.sent_at;
     }
     const bool may_still_run = end.outcome == Outcome::kTimeout || end.outcome == Outcome::kReset ||
                                end.outcome == Outcome::kCancelled;
-    if (may_still_run && q.cls->ordered_by_key && q.req.key != 0) {
-      TimeUs& rest = turns_[q.req.key].rest_until;
-      rest = std::max(rest, now_ + s_.ordering_gap_us);
-    }
-    if (end.outcome == Outcome::kOk) learn_answer(q, e, end);
+    if (may_still_run) key_ordering_.delay_key_until(q, now_ + s_.ordering_gap_us);
+    if (end.outcome == Outcome::kOk) cost_model_.on_success(q, e, end, now_ != woke_at_, now_);
     if (end.outcome == Outcome::kCancelled || end.outcome == Outcome::kTimeout)
-      learn_cut(q, e, end.duration_us);
+      cost_model_.on_interrupted(q, e, end.duration_us, now_);
     if (end.outcome == Outcome::kError)
       learn_error(q, e);
     else if (end.engine_responsive)
       e.life_at = now_;
     else
       learn_health(e, end.outcome);
-    if (end.outcome == Outcome::kOk || q.finished || end.request_finished) settle_errors(q);
-    q.avoid = end.outcome == Outcome::kOk ? 0 : end.engine;
-    if (end.request_finished || q.finished || end.outcome == Outcome::kOk) {
-      q.finished = true;
+    if (end.outcome == Outcome::kOk || q.completed || end.request_finished) settle_errors(q);
+    q.avoided_engine = end.outcome == Outcome::kOk ? 0 : end.engine;
+    if (end.request_finished || q.completed || end.outcome == Outcome::kOk) {
+      q.completed = true;
       forget(q);
-    } else if (q.streaming || end.outcome == Outcome::kSuperseded ||
+    } else if (q.response_started || end.outcome == Outcome::kSuperseded ||
                (end.outcome == Outcome::kCancelled && !cancelled)) {
       conclude(q);
     } else {
@@ -974,7 +834,8 @@
     if (!q) return;
     q->engine->life_at = now_;
     if (note.kind != ProgressKind::kProgress) return;
-    q->foretold_us = static_cast<TimeUs>((now_ - q->sent_at) / std::clamp(note.value, kLeastProgress, 1.0));
+    q->predicted_duration_us =
+        static_cast<TimeUs>((now_ - q->sent_at) / std::clamp(note.value, kLeastProgress, 1.0));
   }
 
   // A deep probe shares the engine with what runs there. Its time against the zone's best tells one past
@@ -986,7 +847,7 @@
     e.probe_at = 0;
     double least = 0;
     if (outcome == Outcome::kOk && took > 0) {
-      TimeUs& best = best_probe_.try_emplace(e.entry.zone, took).first->second;
+      TimeUs& best = best_probe_.try_emplace(e.endpoint.zone, took).first->second;
       best = std::min(best, took);
       least = std::min(1.0 * took / best - 1, kProbeMost) * run_bound(e) / held_threads_;
     }
@@ -1014,7 +875,9 @@
     if (now_ != woke_at_) check_attempts();  // after a stall, what came in the meantime is read first
     for (auto& [id, e] : engines_) pump(e);
     std::vector<Engine*> sources;
-    const auto movable = [&](const Query* q) { return now_ < aim_at(*q) && fits(*q, q->cls->threads); };
+    const auto movable = [&](const Query* q) {
+      return now_ < aim_at(*q) && fits(*q, q->class_settings->threads);
+    };
     for (auto& [id, e] : engines_)
       if (std::any_of(e.queue.begin(), e.queue.end(), movable)) sources.push_back(&e);
     for (auto& [id, e] : engines_)
@@ -1026,13 +889,15 @@
   void end_hopeless(bool all = false) {
     std::vector<Query*> hopeless;
     for (auto& [id, q] : queries_) {
-      if (q.finished || q.streaming) continue;
-      const bool due = now_ + 2 * s_.tick_us + kHousekeepingUs >= q.req.deadline;
+      if (q.completed || q.response_started) continue;
+      const bool due = now_ + 2 * s_.tick_us + kHousekeepingUs >= q.request.deadline;
       const double run = q.engine ? run_us(q, *q.engine) : 0;
       // What is out past all worth holds room that others need; without an estimate its aim isn't known.
-      const bool spent = q.out && q.req.estimated_cost_us && s_.cancellation_allowed && may_refuse(q) &&
-                         now_ != woke_at_ && now_ > q.arrived + kSpent * (last_use(q) - q.arrived);
-      if (all || due || spent || (!q.out && now_ + kReach * run >= last_use(q))) hopeless.push_back(&q);
+      const bool spent = q.attempt_in_flight && q.request.estimated_cost_us && s_.cancellation_allowed &&
+                         RetryPolicy::may_reject(q) && now_ != woke_at_ &&
+                         now_ > q.arrived_at + kSpent * (last_use(q) - q.arrived_at);
+      if (all || due || spent || (!q.attempt_in_flight && now_ + kReach * run >= last_use(q)))
+        hopeless.push_back(&q);
     }
     for (Query* q : hopeless) conclude(*q);
   }
@@ -1044,14 +909,14 @@
  private:
   Settings s_;
   Random random_;
-  std::vector<ClassStats> stats_;
+  CostModel cost_model_{s_};
+  SlowStart slow_start_{s_, cost_model_, random_};
+  RetryPolicy retry_policy_{s_};
+  KeyOrdering key_ordering_;
   std::map<EngineId, Engine> engines_;
   std::map<RequestId, Query> queries_;
-  std::map<uint64_t, Turns> turns_;
   std::vector<Query*> waiting_;
-  std::map<int, TimeUs> best_probe_;  // shortest time of a probe, by zone
-  std::deque<TimeUs> taken_at_, extra_at_;
-  double pace_ = kFirstPace;  // time over work divided by threads, all classes
+  std::map<int, TimeUs> best_probe_;                               // shortest time of a probe, by zone
   double held_threads_ = 1.5, held_work_ = 500'000, held_mb_ = 0;  // of a query held: work left (us), grant
   double fleet_others_ = 0;                   // queries of other gateways a core, mean of the fleet
   double most_threads_ = 1, late_share_ = 0;  // of a query of any class; of the attempts out, smoothed
