--- a/src/workload/cost_model.cpp
+++ b/src/workload/cost_model.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 
 #include "workload/engine.h"
-#include "workload/warm_up.h"
+#include "workload/engine_capacity.h"
 
 namespace sablelink {
 namespace {
@@ -168,6 +168,12 @@
     learn_latency_ratio(engine, std::min(multiple, kMaxRatioStep), now);
 }
 
+void CostModel::on_engine_recovered(Engine& engine) { engine.latency.ratio = 1; }
+
+void CostModel::on_in_flight_latency(Engine& engine, double ratio) {
+  engine.latency.in_flight_ratio = std::max(1.0, ratio);
+}
+
 void CostModel::decay_latency_ratio(Engine& engine, TimeUs interval_us, TimeUs now) {
   EngineLatency& latency = engine.latency;
   if (latency.ratio > 1 && now - latency.updated_at > kLatencyRatioHoldUs)
--- a/src/workload/cost_model.h
+++ b/src/workload/cost_model.h
@@ -62,6 +62,9 @@
                   bool duration_valid, TimeUs now);
   /// Learns from an attempt that was cancelled or timed out after duration_us.
   void on_interrupted(const Query& query, Engine& engine, TimeUs duration_us, TimeUs now);
+  static void on_engine_recovered(Engine& engine);
+  /// ratio: time in flight over expected duration, mean of the attempts in flight on the engine.
+  static void on_in_flight_latency(Engine& engine, double ratio);
   /// Moves the ratio of an engine without recent outcomes back towards 1; called every interval_us.
   static void decay_latency_ratio(Engine& engine, TimeUs interval_us, TimeUs now);
 
--- a/src/workload/engine.h
+++ b/src/workload/engine.h
@@ -4,15 +4,18 @@
 
 #include <vector>
 
+#include "workload/concurrency_limiter.h"
 #include "workload/cost_model.h"
 #include "workload/events.h"
+#include "workload/load_estimator.h"
+#include "workload/outlier_detector.h"
 #include "workload/query.h"
 #include "workload/slow_start.h"
 #include "workload/types.h"
 
 namespace sablelink {
 
-/// Owned by the workload manager. Each part changes the member that has its type alone.
+/// Owned by the workload manager. Of the members below the queues, each is changed by one part alone.
 struct Engine {
   Endpoint endpoint;
   double cores = 0;
@@ -20,19 +23,13 @@
   std::vector<Query*> in_flight;  // sent, without an outcome so far, in sending order
   int64_t last_table_group = -1;  // of the query that was started there last; -1: none
   EngineLatency latency;
-  double own_avg = 0;
-  double others = 0;
-  bool heard = false;
-  TimeUs averaged_at = 0;
-  TimeUs report_at = 0;
-  TimeUs probe_at = 0;
-  TimeUs full_at = 0;
-  TimeUs life_at = 0;
-  double errors = 0;
-  TimeUs ejected_until = 0;
-  TimeUs eject_for = 0;
-  int trial_oks = 0;
+  EngineLoad load;
+  EngineOverload overload;
+  EngineHealth health;
   SlowStartState slow_start;
+  TimeUs health_check_sent_at = 0;  // 0: none is awaited
+
+  bool is_ready() const { return endpoint.state == EndpointState::kReady; }
 
   /// Threads of this gateway's queries in flight there.
   double in_flight_threads() const {
--- a/src/workload/query.h
+++ b/src/workload/query.h
@@ -1,6 +1,7 @@
 // A client's request as the workload manager tracks it.
 #pragma once
 
+#include <map>
 #include <vector>
 
 #include "workload/events.h"
@@ -10,6 +11,8 @@
 namespace sablelink {
 
 struct Engine;
+/// By identifier: decisions must not depend on the order in which endpoints were listed.
+using EngineMap = std::map<EngineId, Engine>;
 
 /// Known from its arrival until it is completed and no attempt of it is in flight any more. Owned by the
 /// workload manager; engines point to the queries that are queued or in flight there.
--- a/src/workload/slow_start.cpp
+++ b/src/workload/slow_start.cpp
@@ -4,7 +4,8 @@
 #include <cmath>
 
 #include "workload/engine.h"
-#include "workload/warm_up.h"
+#include "workload/engine_capacity.h"
+#include "workload/housekeeping.h"
 
 namespace sablelink {
 namespace {
@@ -13,7 +14,6 @@
 constexpr double kCreditDeviations = 3.3;  // margin where gateways send at random times
 constexpr double kBudgetDeviations = 1.5;  // margin for the variance of the work sent
 constexpr double kWindowMargin = 1.15;     // sends count this many windows
-constexpr TimeUs kMaxAccrualUs = 150 * kMillisecondUs;  // of one call: a gateway that stalled gains no more
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   state.accrued_at = now;
   if (!is_warming_up(settings_, engine.endpoint, now)) return;
   const double windows =
-      1.0 * std::min(elapsed_us, kMaxAccrualUs) / std::max<TimeUs>(settings_.collapse_window_us, 1);
+      1.0 * std::min(elapsed_us, kStallThresholdUs) / std::max<TimeUs>(settings_.collapse_window_us, 1);
   state.credit_us += windows * window_budget_us(engine, now);
 }
 
