--- a/src/workload/health_checker.cpp
+++ b/src/workload/health_checker.cpp
@@ -1,6 +1,7 @@
 #include "workload/health_checker.h"
 
 #include <algorithm>
+#include <cstddef>
 #include <utility>
 
 #include "workload/engine.h"
@@ -30,7 +31,7 @@
       ranked.emplace_back(random_.draw() - candidate.interaction_gain, engine);
   }
   const size_t count = std::min(ranked.size(), kChecksPerQuery);
-  std::partial_sort(ranked.begin(), ranked.begin() + count, ranked.end());
+  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(count), ranked.end());
   std::vector<Engine*> chosen;
   for (size_t i = 0; i < count; ++i) {
     ranked[i].second->health_check_sent_at = now;
--- a/src/workload/placement.cpp
+++ b/src/workload/placement.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstddef>
 #include <utility>
 
 #include "workload/engine.h"
@@ -110,7 +111,7 @@
     ranked.emplace_back(rendezvous_rank(query.request.table_group, *candidate.engine) * factor, &candidate);
   }
   const size_t preferred = std::min<size_t>(ranked.size(), kPreferredEngines);
-  std::partial_sort(ranked.begin(), ranked.begin() + preferred, ranked.end());
+  std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(preferred), ranked.end());
   for (size_t i = 0; i < preferred; ++i) ranked[i].second->interaction_gain += 1;
 }
 
--- a/src/workload/random.h
+++ b/src/workload/random.h
@@ -5,18 +5,22 @@
 
 namespace sablelink {
 
-inline uint64_t mix(uint64_t z) {
-  z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ull;
-  z = (z ^ (z >> 27)) * 0x94d049bb133111ebull;
-  return z ^ (z >> 31);
+/// Hashes 64 bits; each bit of the result depends on all of them.
+inline uint64_t mix(uint64_t bits) {
+  bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ull;
+  bits = (bits ^ (bits >> 27)) * 0x94d049bb133111ebull;
+  return bits ^ (bits >> 31);
 }
 
-inline double unit(uint64_t mixed) { return (mixed >> 11) * 0x1p-53; }  // 0 up to, not including, 1
+/// Maps mixed bits to [0, 1).
+inline double unit(uint64_t mixed) { return (mixed >> 11) * 0x1p-53; }
 
 class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
-  uint64_t pick(uint64_t n) { return next() % n; }  // 0 to n - 1
+  /// 0 to n - 1; n must be at least 1.
+  uint64_t pick(uint64_t n) { return next() % n; }
+  /// In [0, 1).
   double draw() { return unit(next()); }
 
  private:
--- a/src/workload/settings_parser.cpp
+++ b/src/workload/settings_parser.cpp
@@ -1,5 +1,6 @@
 #include "workload/settings_parser.h"
 
+#include <algorithm>
 #include <cerrno>
 #include <cmath>
 #include <cstdlib>
@@ -10,19 +11,22 @@
 namespace sablelink {
 namespace {
 
-using Pairs = std::map<std::string, std::string, std::less<>>;
+constexpr int kMaxListLength = 65536;  // of classes or tenants
 
-Pairs split_pairs(std::string_view text) {
-  Pairs pairs;
+using KeyValueMap = std::map<std::string, std::string, std::less<>>;
+
+KeyValueMap split_lines(std::string_view text) {
+  KeyValueMap values;
   while (!text.empty()) {
     const size_t end = text.find('\n');
     std::string_view line = text.substr(0, end);
     text = end == std::string_view::npos ? std::string_view() : text.substr(end + 1);
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    const size_t eq = line.find('=');
-    if (eq != std::string_view::npos) pairs[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+    const size_t equals = line.find('=');
+    if (equals != std::string_view::npos)
+      values[std::string(line.substr(0, equals))] = line.substr(equals + 1);
   }
-  return pairs;
+  return values;
 }
 
 std::vector<std::string> split_list(std::string_view text) {
@@ -51,186 +55,212 @@
   throw SettingsError("settings: " + key + " is neither true nor false: '" + value + "'");
 }
 
-// Reads typed values by key and leaves the target alone where the key is missing or empty.
-class Reader {
+/// Reads typed values by key. A key that is missing or empty leaves the target unchanged. Throws
+/// SettingsError for a value that can't be read.
+class SettingsReader {
  public:
-  explicit Reader(std::string_view text) : pairs_(split_pairs(text)) {}
+  explicit SettingsReader(std::string_view text) : values_(split_lines(text)) {}
 
+  /// Null where the key is missing or empty.
   const std::string* find(const std::string& key) const {
-    const auto it = pairs_.find(key);
-    return it == pairs_.end() || it->second.empty() ? nullptr : &it->second;
+    const auto found = values_.find(key);
+    return found == values_.end() || found->second.empty() ? nullptr : &found->second;
   }
   bool has(const std::string& key) const { return find(key) != nullptr; }
 
   template <typename T>
-  void number(const std::string& key, T& out) const {
-    if (const std::string* v = find(key)) out = static_cast<T>(to_number(key, *v));
+  void read_number(const std::string& key, T& target) const {
+    if (const std::string* value = find(key)) target = static_cast<T>(to_number(key, *value));
   }
-  void flag(const std::string& key, bool& out) const {
-    if (const std::string* v = find(key)) out = to_bool(key, *v);
+
+  void read_bool(const std::string& key, bool& target) const {
+    if (const std::string* value = find(key)) target = to_bool(key, *value);
   }
-  template <typename T>
-  void numbers(const std::string& key, std::vector<T>& out) const {
-    if (const std::string* v = find(key)) {
-      out.clear();
-      for (const std::string& item : split_list(*v)) out.push_back(static_cast<T>(to_number(key, item)));
-    }
+
+  std::vector<std::string> read_list(const std::string& key) const {
+    const std::string* value = find(key);
+    return value ? split_list(*value) : std::vector<std::string>();
   }
+
+  void read_numbers(const std::string& key, std::vector<double>& target) const {
+    if (!has(key)) return;
+    target.clear();
+    for (const std::string& item : read_list(key)) target.push_back(to_number(key, item));
+  }
+
   template <typename T>
-  void word(const std::string& key, const std::map<std::string, T>& words, T& out) const {
-    const std::string* v = find(key);
-    if (v == nullptr) return;
-    const auto it = words.find(*v);
-    if (it == words.end()) throw SettingsError("settings: " + key + " has an unknown value: '" + *v + "'");
-    out = it->second;
+  void read_enum(const std::string& key, const std::map<std::string, T>& values, T& target) const {
+    const std::string* value = find(key);
+    if (value == nullptr) return;
+    const auto known = values.find(*value);
+    if (known == values.end())
+      throw SettingsError("settings: " + key + " has an unknown value: '" + *value + "'");
+    target = known->second;
   }
-  // Kinds and zones may be listed by index or by name; names lists them in order.
-  void indices(const std::string& key, const std::string& names_key, std::vector<int>& out) const {
-    const std::string* v = find(key);
-    if (v == nullptr) return;
-    const std::string* known = find(names_key);
-    const std::vector<std::string> names = split_list(known ? *known : "");
-    for (const std::string& item : split_list(*v)) {
-      size_t i = 0;
-      while (i < names.size() && names[i] != item) ++i;
-      out.push_back(i < names.size() ? static_cast<int>(i) : static_cast<int>(to_number(key, item)));
+
+  /// Appends indices. Engine types and zones may be listed by index, or by a name of those under names_key.
+  void read_indices(const std::string& key, const std::string& names_key, std::vector<int>& target) const {
+    const std::vector<std::string> names = read_list(names_key);
+    for (const std::string& item : read_list(key)) {
+      const auto name = std::find(names.begin(), names.end(), item);
+      target.push_back(name != names.end() ? static_cast<int>(name - names.begin())
+                                           : static_cast<int>(to_number(key, item)));
     }
   }
 
  private:
-  Pairs pairs_;
+  KeyValueMap values_;
 };
 
-void read_class(const Reader& in, int index, ClassSettings& c) {
-  const std::string p = "Services." + std::to_string(index) + ".";
-  if (!in.has(p + "AimUs") || !in.has(p + "DeadlineUs")) {
-    throw SettingsError("settings: " + p + (in.has(p + "AimUs") ? "DeadlineUs" : "AimUs") + " is missing");
+void read_class(const SettingsReader& reader, int index, ClassSettings& settings) {
+  const std::string prefix = "Services." + std::to_string(index) + ".";
+  for (const char* mandatory : {"AimUs", "DeadlineUs"})
+    if (!reader.has(prefix + mandatory))
+      throw SettingsError("settings: " + prefix + mandatory + " is missing");
+  reader.read_number(prefix + "AimUs", settings.latency_objective_us);
+  reader.read_number(prefix + "AimStretch", settings.latency_objective_stretch);
+  reader.read_number(prefix + "DeadlineUs", settings.request_timeout_us);
+  reader.read_number(prefix + "Worth", settings.priority_weight);
+  reader.read_number(prefix + "LateWorth", settings.late_weight_fraction);
+  reader.read_enum(prefix + "Repeat",
+                   {{"retryable", Idempotency::kIdempotent},
+                    {"dedup", Idempotency::kIdempotentWithKey},
+                    {"fragile", Idempotency::kNotIdempotent}},
+                   settings.idempotency);
+  reader.read_enum(prefix + "KeyScope",
+                   {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}},
+                   settings.dedup_scope);
+  reader.read_number(prefix + "WindowUs", settings.dedup_window_us);
+  reader.read_bool(prefix + "Stream", settings.streams_response);
+  reader.read_bool(prefix + "ByArrival", settings.ordered_by_key);
+  reader.read_indices(prefix + "StaysIn", "Zones", settings.allowed_zones);
+  reader.read_indices(prefix + "RunsOn", "Flavors", settings.allowed_engine_types);
+}
+
+void read_classes(const SettingsReader& reader, Settings& settings) {
+  int count = 0;
+  reader.read_number("Services.count", count);
+  if (count <= 0 || count > kMaxListLength)
+    throw SettingsError("settings: Services.count is missing or not usable");
+  settings.classes.resize(count);
+  std::vector<double> threads;
+  reader.read_numbers("Extra.ThreadsByClass", threads);
+  const std::vector<std::string> writes = reader.read_list("Extra.WritesTables");
+  const std::vector<std::string> blocked = reader.read_list("Extra.WaitsForLoads");
+  for (size_t i = 0; i < settings.classes.size(); ++i) {
+    ClassSettings& class_settings = settings.classes[i];
+    read_class(reader, static_cast<int>(i), class_settings);
+    if (i < threads.size()) class_settings.threads = threads[i];
+    if (i < writes.size()) class_settings.writes_tables = to_bool("Extra.WritesTables", writes[i]);
+    if (i < blocked.size())
+      class_settings.blocked_by_table_loads = to_bool("Extra.WaitsForLoads", blocked[i]);
   }
-  in.number(p + "AimUs", c.latency_objective_us);
-  in.number(p + "AimStretch", c.latency_objective_stretch);
-  in.number(p + "DeadlineUs", c.request_timeout_us);
-  in.number(p + "Worth", c.priority_weight);
-  in.number(p + "LateWorth", c.late_weight_fraction);
-  in.word(p + "Repeat",
-          {{"retryable", Idempotency::kIdempotent},
-           {"dedup", Idempotency::kIdempotentWithKey},
-           {"fragile", Idempotency::kNotIdempotent}},
-          c.idempotency);
-  in.word(p + "KeyScope",
-          {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}},
-          c.dedup_scope);
-  in.number(p + "WindowUs", c.dedup_window_us);
-  in.flag(p + "Stream", c.streams_response);
-  in.flag(p + "ByArrival", c.ordered_by_key);
-  in.indices(p + "StaysIn", "Zones", c.allowed_zones);
-  in.indices(p + "RunsOn", "Flavors", c.allowed_engine_types);
 }
 
-// Tenants come as a list of objects; some deployments have none.
-void read_tenants(const Reader& in, Settings& s) {
-  int tenants = 0;
-  in.number("Tenants.count", tenants);
-  if (tenants < 0 || tenants > 65536) throw SettingsError("settings: Tenants.count is not usable");
-  s.tenants.resize(tenants);
-  for (int i = 0; i < tenants; ++i) {
+// Some deployments have no tenants.
+void read_tenants(const SettingsReader& reader, Settings& settings) {
+  int count = 0;
+  reader.read_number("Tenants.count", count);
+  if (count < 0 || count > kMaxListLength) throw SettingsError("settings: Tenants.count is not usable");
+  settings.tenants.resize(count);
+  for (int i = 0; i < count; ++i) {
     const std::string key = "Tenants." + std::to_string(i) + ".AllowancePerS";
-    in.number(key, s.tenants[i].quota_requests_per_s);
-    if (s.tenants[i].quota_requests_per_s < 0) throw SettingsError("settings: " + key + " is below 0");
+    TenantSettings& tenant = settings.tenants[i];
+    reader.read_number(key, tenant.quota_requests_per_s);
+    if (tenant.quota_requests_per_s < 0) throw SettingsError("settings: " + key + " is below 0");
   }
-  in.number("OverShareWorth", s.over_quota_weight_fraction);
+  reader.read_number("OverShareWorth", settings.over_quota_weight_fraction);
+}
+
+void read_engines(const SettingsReader& reader, Settings& settings) {
+  reader.read_numbers("Extra.KindCores", settings.engine_type_cores);
+  reader.read_numbers("Extra.SizeMb", settings.engine_type_memory_mb);
+  reader.read_number("Extra.MostGrant", settings.max_grant_fraction);
+  reader.read_bool("Extra.Grants", settings.engines_honor_grants);
+  reader.read_bool("Extra.TakesPriority", settings.engines_honor_priorities);
+  reader.read_bool("Extra.SaysCost", settings.engines_report_cost);
+  reader.read_number("Extra.TellsEveryUs", settings.progress_interval_us);
+  reader.read_enum("Extra.MemoryShort",
+                   {{"line_up", MemoryPressurePolicy::kQueue},
+                    {"cut", MemoryPressurePolicy::kReduceGrant},
+                    {"overcommit", MemoryPressurePolicy::kOvercommit}},
+                   settings.memory_pressure_policy);
+}
+
+void read_limits(const SettingsReader& reader, Settings& settings) {
+  reader.read_bool("Limits.Cancel", settings.cancellation_allowed);
+  reader.read_bool("Limits.Probes", settings.health_checks_allowed);
+  reader.read_bool("Limits.Peers", settings.gossip_allowed);
+  reader.read_bool("Limits.SecondCopies", settings.hedging_allowed);
+  reader.read_bool("Limits.RetryAfter", settings.clients_honor_retry_after);
+  reader.read_number("Limits.MaxRetryAfterUs", settings.max_retry_after_us);
+  reader.read_number("Limits.MaxAttempts", settings.max_attempts);
 }
 
-// Load reports come with answers and probes, with probes alone, or not at all.
-void read_report_source(const Reader& in, Settings& s) {
-  enum class Source { kInline, kOnProbe, kOff };
-  Source source = Source::kInline;
-  in.word("Report.Source",
-          {{"inline", Source::kInline}, {"on_probe", Source::kOnProbe}, {"off", Source::kOff}}, source);
-  s.load_reports_in_responses = source == Source::kInline;
-  s.load_reports_in_health_checks = source != Source::kOff;
+void read_rules(const SettingsReader& reader, Settings& settings) {
+  reader.read_number("Rules.AnswerSlackUs", settings.response_slack_us);
+  reader.read_number("Rules.DrainGraceUs", settings.drain_grace_us);
+  reader.read_number("Rules.AskWithinUs", settings.endpoint_poll_limit_us);
+  reader.read_number("Rules.ColdFrom", settings.slow_start_min_capacity_fraction);
+  reader.read_number("Rules.FallMultiple", settings.collapse_load_multiple);
+  reader.read_number("Rules.FallUs", settings.collapse_window_us);
+  reader.read_number("Rules.WarmAfterUs", settings.slow_start_duration_us);
+  reader.read_number("Rules.TurnGapUs", settings.ordering_gap_us);
+  settings.retry_budget_enabled = reader.has("Rules.CountedOverUs");
+  reader.read_number("Rules.BudgetFree", settings.retry_budget_base);
+  reader.read_number("Rules.ExtraPerRequest", settings.retry_budget_per_request);
+  reader.read_number("Rules.CountedOverUs", settings.retry_budget_window_us);
+}
+
+// Load reports come with responses and health checks, with health checks alone, or not at all.
+void read_load_report_source(const SettingsReader& reader, Settings& settings) {
+  enum class Source { kResponsesAndHealthChecks, kHealthChecks, kNone };
+  Source source = Source::kResponsesAndHealthChecks;
+  reader.read_enum("Report.Source",
+                   {{"inline", Source::kResponsesAndHealthChecks},
+                    {"on_probe", Source::kHealthChecks},
+                    {"off", Source::kNone}},
+                   source);
+  settings.load_reports_in_responses = source == Source::kResponsesAndHealthChecks;
+  settings.load_reports_in_health_checks = source != Source::kNone;
 }
 
 }  // namespace
 
 Settings parse_settings(std::string_view text) {
-  const Reader in(text);
-  Settings s;
-  int classes = 0;
-  in.number("Services.count", classes);
-  if (classes <= 0 || classes > 65536)
-    throw SettingsError("settings: Services.count is missing or not usable");
-  s.classes.resize(classes);
-  std::vector<double> threads;
-  in.numbers("Extra.ThreadsByClass", threads);
-  std::vector<std::string> writes, waits;
-  if (const std::string* v = in.find("Extra.WritesTables")) writes = split_list(*v);
-  if (const std::string* v = in.find("Extra.WaitsForLoads")) waits = split_list(*v);
-  for (int i = 0; i < classes; ++i) {
-    ClassSettings& c = s.classes[i];
-    read_class(in, i, c);
-    if (i < static_cast<int>(threads.size())) c.threads = threads[i];
-    if (i < static_cast<int>(writes.size())) c.writes_tables = to_bool("Extra.WritesTables", writes[i]);
-    if (i < static_cast<int>(waits.size()))
-      c.blocked_by_table_loads = to_bool("Extra.WaitsForLoads", waits[i]);
-  }
-  in.number("Instances", s.gateway_count);
-  in.number("SelfIndex", s.gateway_index);
-  in.number("Zone", s.zone);
-  in.number("TickUs", s.tick_us);
-  in.word("Discovery", {{"automatic", false}, {"subscribe", true}}, s.watch_endpoints);
-  in.numbers("Extra.KindCores", s.engine_type_cores);
-  in.numbers("Extra.SizeMb", s.engine_type_memory_mb);
-  in.number("Extra.MostGrant", s.max_grant_fraction);
-  in.flag("Extra.Grants", s.engines_honor_grants);
-  in.flag("Extra.TakesPriority", s.engines_honor_priorities);
-  in.flag("Extra.SaysCost", s.engines_report_cost);
-  in.number("Extra.TellsEveryUs", s.progress_interval_us);
-  in.word("Extra.MemoryShort",
-          {{"line_up", MemoryPressurePolicy::kQueue},
-           {"cut", MemoryPressurePolicy::kReduceGrant},
-           {"overcommit", MemoryPressurePolicy::kOvercommit}},
-          s.memory_pressure_policy);
-  in.flag("Limits.Cancel", s.cancellation_allowed);
-  in.flag("Limits.Probes", s.health_checks_allowed);
-  in.flag("Limits.Peers", s.gossip_allowed);
-  in.flag("Limits.SecondCopies", s.hedging_allowed);
-  in.flag("Limits.RetryAfter", s.clients_honor_retry_after);
-  in.number("Limits.MaxRetryAfterUs", s.max_retry_after_us);
-  in.number("Limits.MaxAttempts", s.max_attempts);
-  in.number("Rules.AnswerSlackUs", s.response_slack_us);
-  in.number("Rules.DrainGraceUs", s.drain_grace_us);
-  in.number("Rules.AskWithinUs", s.endpoint_poll_limit_us);
-  in.number("Rules.ColdFrom", s.slow_start_min_capacity_fraction);
-  in.number("Rules.FallMultiple", s.collapse_load_multiple);
-  in.number("Rules.FallUs", s.collapse_window_us);
-  in.number("Rules.WarmAfterUs", s.slow_start_duration_us);
-  in.number("Rules.TurnGapUs", s.ordering_gap_us);
-  s.retry_budget_enabled = in.has("Rules.CountedOverUs");
-  in.number("Rules.BudgetFree", s.retry_budget_base);
-  in.number("Rules.ExtraPerRequest", s.retry_budget_per_request);
-  in.number("Rules.CountedOverUs", s.retry_budget_window_us);
-  in.number("Fees.CrossZone", s.cross_zone_cost);
-  in.number("Fees.Probe", s.health_check_cost);
-  read_tenants(in, s);
-  read_report_source(in, s);
-  return s;
+  const SettingsReader reader(text);
+  Settings settings;
+  read_classes(reader, settings);
+  reader.read_number("Instances", settings.gateway_count);
+  reader.read_number("SelfIndex", settings.gateway_index);
+  reader.read_number("Zone", settings.zone);
+  reader.read_number("TickUs", settings.tick_us);
+  reader.read_enum("Discovery", {{"automatic", false}, {"subscribe", true}}, settings.watch_endpoints);
+  read_engines(reader, settings);
+  read_limits(reader, settings);
+  read_rules(reader, settings);
+  reader.read_number("Fees.CrossZone", settings.cross_zone_cost);
+  reader.read_number("Fees.Probe", settings.health_check_cost);
+  read_tenants(reader, settings);
+  read_load_report_source(reader, settings);
+  return settings;
 }
 
 std::vector<std::string> parse_load_report_fields(std::string_view text) {
-  const Reader in(text);
-  const std::string* v = in.find("Report.Fields");
-  return v ? split_list(*v) : std::vector<std::string>();
+  return SettingsReader(text).read_list("Report.Fields");
 }
 
 bool set_load_report_value(LoadReport& report, std::string_view field, double value) {
-  std::optional<double>* const target = field == "concurrent" || field == "inflight" ? &report.in_flight
-                                        : field == "depth" || field == "queue" ? &report.waiting_for_memory
-                                        : field == "load_share" || field == "util" ? &report.cpu_utilization
-                                        : field == "x0" ? &report.memory_utilization
-                                        : field == "x1" ? &report.disk_utilization
-                                                        : nullptr;
-  if (target != nullptr) *target = value;
-  return target != nullptr;
+  using Member = std::optional<double> LoadReport::*;
+  static const std::map<std::string, Member, std::less<>> kMembers = {
+      {"concurrent", &LoadReport::in_flight},       {"inflight", &LoadReport::in_flight},
+      {"depth", &LoadReport::waiting_for_memory},   {"queue", &LoadReport::waiting_for_memory},
+      {"load_share", &LoadReport::cpu_utilization}, {"util", &LoadReport::cpu_utilization},
+      {"x0", &LoadReport::memory_utilization},      {"x1", &LoadReport::disk_utilization}};
+  const auto member = kMembers.find(field);
+  if (member == kMembers.end()) return false;
+  report.*(member->second) = value;
+  return true;
 }
 
 }  // namespace sablelink
--- a/src/workload/workload_manager.cpp
+++ b/src/workload/workload_manager.cpp
@@ -30,6 +30,8 @@
 namespace {
 
 constexpr TimeUs kWatchRetryUs = 500 * kMillisecondUs;  // after the endpoint list couldn't be watched
+constexpr double kMinProgress = 0.002;                  // a smaller fraction predicts no more than this one
+
 constexpr uint32_t kHousekeepingToken = 1;
 constexpr uint32_t kWatchRetryToken = 2;
 
@@ -247,7 +249,6 @@
 }
 
 void WorkloadManager::Impl::on_progress(const ProgressUpdate& update) {
-  constexpr double kMinProgress = 0.002;  // a smaller fraction predicts no more than this one
   Query* const query = find_in_flight(update.id, update.attempt);
   if (query == nullptr) return;
   OutlierDetector::on_response(*query->engine, now_);
