--- a/tests/workload/settings_parser_test.cpp
+++ b/tests/workload/settings_parser_test.cpp
@@ -1,7 +1,11 @@
+// Settings by the platform's names, and errors in them.
 #include "workload/settings_parser.h"
 
 #include <gtest/gtest.h>
 
+#include <string>
+#include <vector>
+
 namespace sablelink {
 namespace {
 
@@ -32,30 +36,6 @@
     "Services.1.RunsOn=std-8b\n"
     "Services.1.ByArrival=true\n";
 
-TEST(Settings, ReadsWhatIsGivenAndKeepsDefaults) {
-  const Settings s = parse_settings(kText);
-  EXPECT_TRUE(s.watch_endpoints);
-  EXPECT_EQ(s.gateway_count, 3);
-  EXPECT_EQ(s.engine_type_cores, (std::vector<double>{8, 16}));
-  EXPECT_EQ(s.memory_pressure_policy, MemoryPressurePolicy::kReduceGrant);
-  ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].latency_objective_us, 1500000);
-  EXPECT_DOUBLE_EQ(s.classes[0].latency_objective_stretch, 2);
-  EXPECT_DOUBLE_EQ(s.classes[1].threads, 4);
-  EXPECT_TRUE(s.classes[1].blocked_by_table_loads);
-  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kIdempotentWithKey);
-  EXPECT_EQ(s.classes[1].dedup_scope, DedupScope::kCell);
-  EXPECT_EQ(s.classes[1].allowed_zones, std::vector<int>{1});
-  EXPECT_EQ(s.classes[1].allowed_engine_types, std::vector<int>{1});
-  EXPECT_TRUE(s.classes[1].ordered_by_key);
-  EXPECT_FALSE(s.retry_budget_enabled);
-  EXPECT_FALSE(s.hedging_allowed);
-}
-
-TEST(Settings, ABudgetIsThereOnlyWithItsWindow) {
-  EXPECT_TRUE(parse_settings(std::string(kText) + "Rules.CountedOverUs=10000000\n").retry_budget_enabled);
-}
-
 void expect_error(const std::string& text, const std::string& key) {
   try {
     parse_settings(text);
@@ -65,7 +45,31 @@
   }
 }
 
-TEST(Settings, NamesTheKeyThatCannotBeRead) {
+TEST(SettingsParser, GivenKeysAreReadAndOthersKeepDefaults) {
+  const Settings settings = parse_settings(kText);
+  EXPECT_TRUE(settings.watch_endpoints);
+  EXPECT_EQ(settings.gateway_count, 3);
+  EXPECT_EQ(settings.engine_type_cores, (std::vector<double>{8, 16}));
+  EXPECT_EQ(settings.memory_pressure_policy, MemoryPressurePolicy::kReduceGrant);
+  ASSERT_EQ(settings.classes.size(), 2u);
+  EXPECT_EQ(settings.classes[0].latency_objective_us, 1500000);
+  EXPECT_DOUBLE_EQ(settings.classes[0].latency_objective_stretch, 2);
+  EXPECT_DOUBLE_EQ(settings.classes[1].threads, 4);
+  EXPECT_TRUE(settings.classes[1].blocked_by_table_loads);
+  EXPECT_EQ(settings.classes[1].idempotency, Idempotency::kIdempotentWithKey);
+  EXPECT_EQ(settings.classes[1].dedup_scope, DedupScope::kCell);
+  EXPECT_EQ(settings.classes[1].allowed_zones, std::vector<int>{1});
+  EXPECT_EQ(settings.classes[1].allowed_engine_types, std::vector<int>{1});
+  EXPECT_TRUE(settings.classes[1].ordered_by_key);
+  EXPECT_FALSE(settings.retry_budget_enabled);
+  EXPECT_FALSE(settings.hedging_allowed);
+}
+
+TEST(SettingsParser, RetryBudgetNeedsItsWindow) {
+  EXPECT_TRUE(parse_settings(std::string(kText) + "Rules.CountedOverUs=10000000\n").retry_budget_enabled);
+}
+
+TEST(SettingsParser, ErrorNamesItsKey) {
   expect_error(std::string(kText) + "Instances=three\n", "Instances");
   expect_error(std::string(kText) + "Limits.Cancel=perhaps\n", "Limits.Cancel");
   expect_error(std::string(kText) + "Services.1.Repeat=often\n", "Services.1.Repeat");
@@ -73,26 +77,27 @@
   expect_error("Instances=3\n", "Services.count");
 }
 
-TEST(Settings, ReportFieldsKeepTheirOrder) {
+TEST(SettingsParser, LoadReportFieldsKeepTheirOrder) {
   EXPECT_EQ(parse_load_report_fields(kText), (std::vector<std::string>{"concurrent", "depth", "x0", "x1"}));
   EXPECT_TRUE(parse_load_report_fields("").empty());
 }
 
-TEST(Settings, ReadsTenantsAndWhereReportsComeFrom) {
+TEST(SettingsParser, TenantsAndLoadReportSourceAreRead) {
   const std::string base = "Services.count=1\nServices.0.AimUs=1\nServices.0.DeadlineUs=2\n";
   const Settings plain = parse_settings(base);
   EXPECT_TRUE(plain.tenants.empty());
   EXPECT_TRUE(plain.load_reports_in_responses && plain.load_reports_in_health_checks);
-  const Settings s = parse_settings(base +
-                                    "Tenants.count=2\nTenants.0.AllowancePerS=127.5\nOverShareWorth=0.2\n"
-                                    "Report.Source=on_probe\nFees.Probe=0.01\n");
-  ASSERT_EQ(s.tenants.size(), 2u);
-  EXPECT_DOUBLE_EQ(s.tenants[0].quota_requests_per_s, 127.5);
-  EXPECT_DOUBLE_EQ(s.tenants[1].quota_requests_per_s, 0);
-  EXPECT_DOUBLE_EQ(s.over_quota_weight_fraction, 0.2);
-  EXPECT_DOUBLE_EQ(s.health_check_cost, 0.01);
-  EXPECT_FALSE(s.load_reports_in_responses);
-  EXPECT_TRUE(s.load_reports_in_health_checks);
+  const Settings settings =
+      parse_settings(base +
+                     "Tenants.count=2\nTenants.0.AllowancePerS=127.5\nOverShareWorth=0.2\n"
+                     "Report.Source=on_probe\nFees.Probe=0.01\n");
+  ASSERT_EQ(settings.tenants.size(), 2u);
+  EXPECT_DOUBLE_EQ(settings.tenants[0].quota_requests_per_s, 127.5);
+  EXPECT_DOUBLE_EQ(settings.tenants[1].quota_requests_per_s, 0);
+  EXPECT_DOUBLE_EQ(settings.over_quota_weight_fraction, 0.2);
+  EXPECT_DOUBLE_EQ(settings.health_check_cost, 0.01);
+  EXPECT_FALSE(settings.load_reports_in_responses);
+  EXPECT_TRUE(settings.load_reports_in_health_checks);
   EXPECT_FALSE(parse_settings(base + "Report.Source=off\n").load_reports_in_health_checks);
   for (const char* bad :
        {"Tenants.count=-1\n", "Tenants.count=1\nTenants.0.AllowancePerS=-2\n", "Report.Source=sometimes\n"}) {
