--- a/src/platform/client_request.cpp
+++ b/src/platform/client_request.cpp
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <utility>
 
-#include "platform/pages.h"
+#include "platform/text_values.h"
 
 namespace sablelink::platform {
 namespace {
--- a/src/platform/settings_lines.cpp
+++ b/src/platform/settings_lines.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <boost/json.hpp>
 #include <charconv>
+#include <string_view>
 #include <utility>
 
 #include "platform/json_fields.h"
@@ -30,12 +31,18 @@
   return std::string(digits, result.ptr);
 }
 
+std::string member_path(const std::string& path, std::string_view key) {
+  std::string out = path;
+  if (!out.empty()) out += '.';
+  out += key;
+  return out;
+}
+
 class LineWriter {
  public:
   void write_object(const json::object& object, const std::string& path) {
     for (const auto& [key, member] : object) {
-      const std::string name(key);
-      write(member, path.empty() ? name : path + "." + name);
+      write(member, member_path(path, key));
     }
   }
   std::string take() { return std::move(lines_); }
@@ -62,7 +69,7 @@
       return;
     }
     write_line(path + ".count", std::to_string(array.size()));
-    for (size_t i = 0; i < array.size(); ++i) write(array[i], path + "." + std::to_string(i));
+    for (size_t i = 0; i < array.size(); ++i) write(array[i], member_path(path, std::to_string(i)));
   }
 
   void write_line(const std::string& path, const std::string& value) { lines_ += path + "=" + value + "\n"; }
--- a/src/platform/shutdown_schedule.h
+++ b/src/platform/shutdown_schedule.h
@@ -1,4 +1,4 @@
-// The moments of a planned end, counted from SIGTERM. Pure.
+// Timetable of a graceful shutdown. Pure.
 #pragma once
 
 #include <algorithm>
@@ -8,27 +8,34 @@
 
 namespace sablelink::platform {
 
+/// When each step of a graceful shutdown happens, in microseconds after SIGTERM. The platform kills the
+/// process some time after SIGTERM, and every request that has no response by then is lost.
 struct ShutdownSchedule {
-  TimeUs stop_accepting = 0;    // the listener closes, and connections at rest
-  TimeUs cancel_in_flight = 0;  // what is held gets its final answer
-  TimeUs exit = 0;              // the process ends, whoever still waits
-
-  static ShutdownSchedule of(const Settings& settings) {
-    // Requests come on new connections for up to 0.4 s and on open ones for 0.2 s more. What comes later than
-    // 0.7 s after the signal and is unanswered at the kill is lost.
-    constexpr TimeUs kLateRequestUs = 700'000, kSlackUs = 100'000;
-    // The kill comes the longest deadline after that, which counts as this where it is longer.
-    constexpr TimeUs kMostDeadlineUs = 3'000'000;
-    constexpr TimeUs kAnswerUs = 400'000;  // for final answers to be written, by a part of a core
-    constexpr TimeUs kReadUs = 150'000;    // ... of which this is for clients to read the last of them
-    TimeUs longest = 0;
-    for (const ClassSettings& cls : settings.classes) longest = std::max(longest, cls.request_timeout_us);
-    const TimeUs kill = std::min(longest, kMostDeadlineUs) + kLateRequestUs;
-    ShutdownSchedule times;
-    times.cancel_in_flight = kill - kAnswerUs;
-    times.stop_accepting = std::min(kLateRequestUs + kSlackUs, times.cancel_in_flight);
-    times.exit = kill - kReadUs;
-    return times;
+  TimeUs stop_accepting = 0;    // close the listener and idle connections
+  TimeUs cancel_in_flight = 0;  // send each request that is in flight its final response
+  TimeUs exit = 0;              // end the process, whatever is still open
+
+  static ShutdownSchedule from_settings(const Settings& settings) {
+    // Clients open connections for up to 0.4 s after SIGTERM and send on open ones for 0.2 s more. A request
+    // that arrives after kLastRequestUs and has no response at the kill is lost.
+    constexpr TimeUs kLastRequestUs = 700'000;
+    constexpr TimeUs kAcceptSlackUs = 100'000;
+    // The platform kills the process at the longest request timeout after the last request, but counts a
+    // longer timeout as this.
+    constexpr TimeUs kMaxTimeoutUs = 3'000'000;
+    constexpr TimeUs kFinalResponsesUs = 400'000;  // to write the final responses on a fraction of a core
+    constexpr TimeUs kClientReadUs = 150'000;      // ... of which clients have this to read the last of them
+
+    TimeUs longest_timeout = 0;
+    for (const ClassSettings& cls : settings.classes)
+      longest_timeout = std::max(longest_timeout, cls.request_timeout_us);
+    const TimeUs kill = std::min(longest_timeout, kMaxTimeoutUs) + kLastRequestUs;
+
+    ShutdownSchedule schedule;
+    schedule.cancel_in_flight = kill - kFinalResponsesUs;
+    schedule.stop_accepting = std::min(kLastRequestUs + kAcceptSlackUs, schedule.cancel_in_flight);
+    schedule.exit = kill - kClientReadUs;
+    return schedule;
   }
 };
 
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -35,7 +35,7 @@
       loop_(system.wall, system.steady),
       net_(std::make_unique<rpc::TcpNet>(loop_)),
       lists_(std::make_unique<Lists>(*this)) {
-  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.max_descriptors);
+  const platform::DescriptorBudget budget = platform::DescriptorBudget::from_limit(config_.max_descriptors);
   platform::EngineClientOptions to_nodes;
   to_nodes.budget = budget;
   to_nodes.dial_timeout_us = config_.dial_timeout_us;
@@ -99,7 +99,7 @@
   if (std::exchange(stopping_, true)) return;
   log_->info("stopping", {{"open", std::to_string(dispatcher_->open_requests())}});
   front_->start_draining();
-  const auto times = platform::ShutdownSchedule::of(config_.settings);
+  const auto times = platform::ShutdownSchedule::from_settings(config_.settings);
   end_by_ = loop_.now() + times.exit;
   loop_.call_after(times.stop_accepting, [this] { stop_taking(); });
   loop_.call_after(times.cancel_in_flight, [this] { dispatcher_->cancel_in_flight(); });
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -262,7 +262,7 @@
   /// is returned. The client disconnects after `timeout_us`.
   std::shared_ptr<ClientResponse> send(std::string bytes, TimeUs timeout_us = 20'000'000,
                                        int response_count = 1) {
-    const auto out = std::make_shared<ClientResponse>();
+    auto out = std::make_shared<ClientResponse>();
     boost::asio::co_spawn(world_.executor(), exchange(std::move(bytes), out, timeout_us, response_count),
                           boost::asio::detached);
     return out;
--- a/tests/platform/shutdown_schedule_test.cpp
+++ b/tests/platform/shutdown_schedule_test.cpp
@@ -13,7 +13,7 @@
   for (const TimeUs deadline : {300 * kMs, 900 * kMs, 2500 * kMs, 3 * kSecond, 40 * kSecond}) {
     Settings settings = plain_settings();
     for (ClassSettings& cls : settings.classes) cls.request_timeout_us = deadline;
-    const auto times = platform::ShutdownSchedule::of(settings);
+    const auto times = platform::ShutdownSchedule::from_settings(settings);
     const TimeUs kill = std::min(deadline, 3 * kSecond) + 700 * kMs;
     EXPECT_GE(times.stop_accepting, 600 * kMs) << deadline;
     EXPECT_LE(times.stop_accepting, times.cancel_in_flight) << deadline;
