--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -5,7 +5,9 @@
 namespace sablelink::http {
 namespace {
 
-std::string_view phrase(int status) {
+constexpr size_t kMaxDecimalDigits = 18;  // any number of these fits into long long
+
+std::string_view reason_phrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -44,7 +46,7 @@
   }
 }
 
-void put_fields(std::string& out, const Fields& fields) {
+void append_fields(std::string& out, const Fields& fields) {
   for (const auto& [name, value] : fields) {
     out += name;
     out += ": ";
@@ -56,13 +58,13 @@
 }  // namespace
 
 std::string_view find(const Fields& fields, std::string_view name) {
-  for (const auto& [key, value] : fields)
-    if (key == name) return value;
+  for (const auto& [field_name, value] : fields)
+    if (field_name == name) return value;
   return {};
 }
 
 size_t count(const Fields& fields, std::string_view name) {
-  return std::count_if(fields.begin(), fields.end(), [&](const auto& f) { return f.first == name; });
+  return std::count_if(fields.begin(), fields.end(), [&](const auto& field) { return field.first == name; });
 }
 
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
@@ -75,7 +77,7 @@
   out += " HTTP/1.1\r\nHost: ";
   out += host;
   out += "\r\n";
-  put_fields(out, fields);
+  append_fields(out, fields);
   if (!body.empty() || method == "POST" || method == "PUT")
     out += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   out += "\r\n";
@@ -87,23 +89,23 @@
   std::string out;
   out.reserve(160 + body.size());
   out += "HTTP/1.1 " + std::to_string(status) + " ";
-  out += phrase(status);
+  out += reason_phrase(status);
   out += "\r\n";
-  put_fields(out, fields);
+  append_fields(out, fields);
   if (!keep_alive) out += "Connection: close\r\n";
   out += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
   out += body;
   return out;
 }
 
-long long parse_decimal(std::string_view text, long long most) {
-  if (text.empty() || text.size() > 18) return -1;
+long long parse_decimal(std::string_view text, long long max) {
+  if (text.empty() || text.size() > kMaxDecimalDigits) return -1;
   long long value = 0;
   for (const char c : text) {
     if (c < '0' || c > '9') return -1;
     value = value * 10 + (c - '0');
   }
-  return value <= most ? value : -1;
+  return value <= max ? value : -1;
 }
 
 }  // namespace sablelink::http
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -8,255 +8,337 @@
 namespace sablelink::http {
 namespace {
 
-constexpr size_t kChunkLineBytes = 256;
+constexpr size_t kMaxChunkLineBytes = 256;
+constexpr size_t kMaxChunkSizeDigits = 8;
+// Parsed bytes are discarded in batches: moving the rest for every piece would cost the square of its length.
+constexpr size_t kDiscardBytes = 16 << 10;
+constexpr size_t kStatusCodeOffset = 9;  // after "HTTP/1.1 "
+constexpr size_t kStatusCodeEnd = 12;
+
+bool is_digit(char c) { return c >= '0' && c <= '9'; }
 
 bool is_token(std::string_view text) {
-  return !text.empty() && std::all_of(text.begin(), text.end(), [](unsigned char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-           std::string_view("!#$%&'*+-.^_`|~").find(static_cast<char>(c)) != std::string_view::npos;
+  return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
+    return is_digit(c) || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+           std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
   });
 }
 
-bool is_plain(std::string_view text) {  // visible ASCII
+bool is_visible_ascii(std::string_view text) {
   return std::all_of(text.begin(), text.end(), [](unsigned char c) { return c > 0x20 && c < 0x7f; });
 }
 
-std::string_view trimmed(std::string_view text) {
+bool is_field_value(std::string_view text) {
+  return std::all_of(text.begin(), text.end(),
+                     [](unsigned char c) { return c == '\t' || (c >= 0x20 && c != 0x7f); });
+}
+
+bool is_supported_version(std::string_view version) { return version == "HTTP/1.1" || version == "HTTP/1.0"; }
+
+std::string_view trim_whitespace(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
 
-bool names(std::string_view list, std::string_view wanted) {
+// Whether a comma-separated list of tokens has one, which is given in lower case.
+bool list_contains(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
-    if (lowered(trimmed(list.substr(0, comma))) == wanted) return true;
+    if (lowered(trim_whitespace(list.substr(0, comma))) == token) return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
 }
 
+// -1 where it is none.
+int hex_digit_value(char c) {
+  if (is_digit(c)) return c - '0';
+  if (c >= 'a' && c <= 'f') return c - 'a' + 10;
+  if (c >= 'A' && c <= 'F') return c - 'A' + 10;
+  return -1;
+}
+
 }  // namespace
 
-ParseStatus Reader::bad(int status, const char* why) {
-  error_status_ = status;
-  error_ = why;
-  buffer_.clear();
-  buffer_.shrink_to_fit();
-  at_ = scanned_ = 0;
-  return state_ = ParseStatus::kMalformed;
+// ---- Bytes and status
+// --------------------------------------------------------------------------------------
+
+ParseStatus MessageReader::feed(std::string_view bytes) {
+  if (status_ == ParseStatus::kMalformed) return status_;
+  buffer_ += bytes;
+  if (status_ == ParseStatus::kComplete) return status_;
+  while (parse_element()) continue;
+  if (parsed_ > kDiscardBytes) discard_parsed_bytes();
+  return status_;
 }
 
-ParseStatus Reader::done() { return state_ = ParseStatus::kComplete; }
+ParseStatus MessageReader::finish() {
+  if (status_ != ParseStatus::kNeedMore) return status_;
+  if (part_ == Part::kContentUntilClose)
+    complete();
+  else
+    fail(400, "the connection ended within an answer");
+  return status_;
+}
 
-void Reader::start_over() {
-  buffer_.erase(0, at_);
+void MessageReader::start_next_message() {
+  discard_parsed_bytes();
   if (buffer_.empty()) buffer_.shrink_to_fit();
-  at_ = scanned_ = 0;
+  searched_ = 0;
   request_ = {};
   response_ = {};
-  stage_ = Stage::kFirstLine;
-  state_ = ParseStatus::kNeedMore;
-  interim_ = 0;
-  begun_ = false;
+  part_ = Part::kStartLine;
+  status_ = ParseStatus::kNeedMore;
+  header_bytes_left_ = limits_.max_header_bytes;
+  interim_responses_ = 0;
 }
 
-ParseStatus Reader::feed(std::string_view bytes) {
-  if (state_ == ParseStatus::kMalformed) return state_;
-  buffer_ += bytes;
-  if (state_ == ParseStatus::kComplete) return state_;
-  while (state_ == ParseStatus::kNeedMore && step() == ParseStatus::kComplete) {
-  }
-  // What is read needn't stay, but moving it for every piece would cost the square of a body's length.
-  if (at_ > 16 << 10) {
-    buffer_.erase(0, at_);
-    scanned_ -= std::min(scanned_, at_);
-    at_ = 0;
+void MessageReader::consume(size_t bytes) {
+  parsed_ += bytes;
+  searched_ = parsed_;
+}
+
+void MessageReader::discard_parsed_bytes() {
+  buffer_.erase(0, parsed_);
+  searched_ -= std::min(searched_, parsed_);
+  parsed_ = 0;
+}
+
+bool MessageReader::complete() {
+  status_ = ParseStatus::kComplete;
+  return false;
+}
+
+bool MessageReader::fail(int status, const char* error) {
+  error_status_ = status;
+  error_ = error;
+  buffer_.clear();
+  buffer_.shrink_to_fit();
+  parsed_ = 0;
+  searched_ = 0;
+  status_ = ParseStatus::kMalformed;
+  return false;
+}
+
+// ---- Start line and fields
+// ---------------------------------------------------------------------------------
+
+bool MessageReader::parse_element() {
+  switch (part_) {
+    case Part::kStartLine:
+    case Part::kHeaderFields:
+    case Part::kTrailerFields:
+      return parse_line_of_header();
+    case Part::kContent:
+    case Part::kChunkData:
+      return parse_content();
+    case Part::kChunkSize:
+      return parse_chunk_size();
+    case Part::kChunkEnd:
+      return parse_chunk_end();
+    case Part::kContentUntilClose:
+      return parse_content_until_close();
   }
-  return state_;
+  return false;
 }
 
-// One step further. kDone: go on; kMore: not enough has come.
-ParseStatus Reader::step() {
-  if (!begun_) {
-    begun_ = true;
-    head_left_ = limits_.max_header_bytes;
+std::optional<std::string_view> MessageReader::take_line() {
+  const size_t line_feed = buffer_.find('\n', searched_);
+  const bool is_whole = line_feed != std::string::npos;
+  const size_t length = (is_whole ? line_feed + 1 : buffer_.size()) - parsed_;
+  if (length > header_bytes_left_) {
+    fail(is_request() ? 431 : 400, "the head is too long");
+    return std::nullopt;
+  }
+  if (!is_whole) {
+    searched_ = buffer_.size();
+    return std::nullopt;
   }
-  std::string_view text;
-  const std::string_view rest = std::string_view(buffer_).substr(at_);
-  switch (stage_) {
-    case Stage::kFirstLine:
-    case Stage::kFields:
-    case Stage::kTrailers: {
-      if (line(text) != ParseStatus::kComplete) return state_;
-      if (stage_ == Stage::kFirstLine) return first_line(text);
-      if (!text.empty()) return field(text);
-      if (stage_ == Stage::kFields) return head_over();
-      return done();
-    }
-    case Stage::kBody:
-    case Stage::kChunkData: {
-      const size_t n = std::min(left_, rest.size());
-      body() += rest.substr(0, n);
-      at_ += n;
-      scanned_ = at_;
-      left_ -= n;
-      if (left_ > 0) return ParseStatus::kNeedMore;
-      if (stage_ == Stage::kBody) return done();
-      stage_ = Stage::kChunkEnd;
-      return ParseStatus::kComplete;
-    }
-    case Stage::kChunkEnd:
-      if (rest.size() < 2) return ParseStatus::kNeedMore;
-      if (!rest.starts_with("\r\n")) return bad(400, "a chunk is longer than told");
-      at_ += 2;
-      scanned_ = at_;
-      stage_ = Stage::kChunkSize;
-      return ParseStatus::kComplete;
-    case Stage::kChunkSize: {
-      head_left_ = kChunkLineBytes;
-      if (line(text) != ParseStatus::kComplete) return state_;
-      return chunk_size(text);
-    }
-    case Stage::kUntilClose:
-      if (body().size() + rest.size() > limits_.max_body_bytes) return bad(413, "the body is too long");
-      body() += rest;
-      at_ = scanned_ = buffer_.size();
-      return ParseStatus::kNeedMore;
+  if (length < 2 || buffer_[line_feed - 1] != '\r') {
+    fail(400, "a line doesn't end in CRLF");
+    return std::nullopt;
   }
-  return state_;
+  const std::string_view line = unparsed().substr(0, length - 2);
+  consume(length);
+  header_bytes_left_ -= length;
+  return line;
 }
 
-ParseStatus Reader::line(std::string_view& out) {
-  const size_t end = buffer_.find('\n', std::max(at_, scanned_));
-  const size_t length = (end == std::string::npos ? buffer_.size() : end + 1) - at_;
-  if (length > head_left_) return bad(requests_ ? 431 : 400, "the head is too long");
-  if (end == std::string::npos) {
-    scanned_ = buffer_.size();
-    return ParseStatus::kNeedMore;
-  }
-  if (length < 2 || buffer_[end - 1] != '\r') return bad(400, "a line doesn't end in CRLF");
-  out = std::string_view(buffer_).substr(at_, length - 2);
-  at_ = scanned_ = end + 1;
-  head_left_ -= length;
-  return ParseStatus::kComplete;
+bool MessageReader::parse_line_of_header() {
+  const std::optional<std::string_view> line = take_line();
+  if (!line) return false;
+  if (part_ == Part::kStartLine) return is_request() ? parse_request_line(*line) : parse_status_line(*line);
+  if (!line->empty()) return parse_field(*line);
+  return part_ == Part::kHeaderFields ? on_header_complete() : complete();
 }
 
-ParseStatus Reader::first_line(std::string_view text) {
-  if (requests_) {
-    const size_t a = text.find(' '), b = text.rfind(' ');
-    if (a == std::string_view::npos || a == b) return bad(400, "the first line is no request");
-    const std::string_view method = text.substr(0, a), target = text.substr(a + 1, b - a - 1),
-                           version = text.substr(b + 1);
-    if (!is_token(method) || target.empty() || !is_plain(target))
-      return bad(400, "the first line is no request");
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-      return version.starts_with("HTTP/") ? bad(505, "the version is not HTTP/1.1")
-                                          : bad(400, "the first line is no request");
-    }
-    request_.method = method;
-    request_.target = target;
-    old_version_ = version == "HTTP/1.0";
-  } else {
-    if (text.size() < 12 || !(text.starts_with("HTTP/1.1 ") || text.starts_with("HTTP/1.0 ")) ||
-        (text.size() > 12 && text[12] != ' '))
-      return bad(400, "the first line is no answer");
-    const long long status = parse_decimal(text.substr(9, 3), 999);
-    if (status < 100 || status > 599) return bad(400, "the first line is no answer");
-    response_.status = static_cast<int>(status);
-    old_version_ = text.starts_with("HTTP/1.0");
+bool MessageReader::parse_request_line(std::string_view line) {
+  static constexpr char kNotARequestLine[] = "the first line is no request";
+  const size_t first_space = line.find(' ');
+  const size_t last_space = line.rfind(' ');
+  if (first_space == std::string_view::npos || first_space == last_space) return fail(400, kNotARequestLine);
+  const std::string_view method = line.substr(0, first_space);
+  const std::string_view target = line.substr(first_space + 1, last_space - first_space - 1);
+  const std::string_view version = line.substr(last_space + 1);
+  if (!is_token(method) || target.empty() || !is_visible_ascii(target)) return fail(400, kNotARequestLine);
+  if (!is_supported_version(version)) {
+    if (version.starts_with("HTTP/")) return fail(505, "the version is not HTTP/1.1");
+    return fail(400, kNotARequestLine);
   }
-  stage_ = Stage::kFields;
-  return ParseStatus::kComplete;
+  request_.method = method;
+  request_.target = target;
+  is_http_1_0_ = version == "HTTP/1.0";
+  part_ = Part::kHeaderFields;
+  return true;
 }
 
-ParseStatus Reader::field(std::string_view text) {
-  const size_t colon = text.find(':');
-  if (colon == std::string_view::npos || !is_token(text.substr(0, colon)))
-    return bad(400, "a field can't be read");
-  const std::string_view value = trimmed(text.substr(colon + 1));
-  for (const unsigned char c : value)
-    if ((c < 0x20 && c != '\t') || c == 0x7f) return bad(400, "a field's value can't be read");
-  if (stage_ == Stage::kTrailers) return ParseStatus::kComplete;  // nothing of ours stands in trailers
-  if (fields().size() >= limits_.max_fields) return bad(431, "too many fields");
-  fields().emplace_back(lowered(text.substr(0, colon)), value);
-  return ParseStatus::kComplete;
+bool MessageReader::parse_status_line(std::string_view line) {
+  static constexpr char kNotAStatusLine[] = "the first line is no answer";
+  const std::string_view version = line.substr(0, kStatusCodeOffset - 1);
+  const bool is_well_formed = line.size() >= kStatusCodeEnd && is_supported_version(version) &&
+                              line[kStatusCodeOffset - 1] == ' ' &&
+                              (line.size() == kStatusCodeEnd || line[kStatusCodeEnd] == ' ');
+  if (!is_well_formed) return fail(400, kNotAStatusLine);
+  const long long status =
+      parse_decimal(line.substr(kStatusCodeOffset, kStatusCodeEnd - kStatusCodeOffset), 999);
+  if (status < 100 || status > 599) return fail(400, kNotAStatusLine);
+  response_.status = static_cast<int>(status);
+  is_http_1_0_ = version == "HTTP/1.0";
+  part_ = Part::kHeaderFields;
+  return true;
 }
 
-ParseStatus Reader::head_over() {
-  const Fields& f = fields();
-  if (!requests_ && response_.status < 200) {
-    if (response_.status == 101 || ++interim_ > limits_.max_interim_responses)
-      return bad(400, "too many interim answers");
-    response_ = {};
-    head_left_ = limits_.max_header_bytes;
-    stage_ = Stage::kFirstLine;
-    return ParseStatus::kComplete;
-  }
-  const std::string_view connection = find(f, "connection");
-  (requests_ ? request_.keep_alive : response_.keep_alive) = !old_version_ && !names(connection, "close");
-  const std::string_view coding = find(f, "transfer-encoding"), length = find(f, "content-length");
-  const bool coded = count(f, "transfer-encoding") > 0, sized = count(f, "content-length") > 0;
-  if (coded && sized) return bad(400, "both Content-Length and Transfer-Encoding");
-  if (count(f, "host") > 1) return bad(400, "more than one Host");
-  if (coded) {
-    if (old_version_) return bad(400, "Transfer-Encoding in HTTP/1.0");
-    if (count(f, "transfer-encoding") > 1 || lowered(coding) != "chunked")
-      return bad(501, "a transfer coding other than chunked");
-    stage_ = Stage::kChunkSize;
-    return ParseStatus::kComplete;
-  }
-  if (!requests_ && (response_.status == 204 || response_.status == 304)) return done();
-  if (sized) {
-    if (count(f, "content-length") > 1) return bad(400, "more than one Content-Length");
-    if (length.empty() || length.find_first_not_of("0123456789") != std::string_view::npos)
-      return bad(400, "Content-Length is no length");
-    const long long bytes = parse_decimal(length, static_cast<long long>(limits_.max_body_bytes));
-    if (bytes < 0) return bad(413, "the body is too long");
-    left_ = static_cast<size_t>(bytes);
-    stage_ = Stage::kBody;
-    return ParseStatus::kComplete;
-  }
-  if (requests_) return done();
-  stage_ = Stage::kUntilClose;
+bool MessageReader::parse_field(std::string_view line) {
+  const size_t colon = line.find(':');
+  if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
+    return fail(400, "a field can't be read");
+  const std::string_view value = trim_whitespace(line.substr(colon + 1));
+  if (!is_field_value(value)) return fail(400, "a field's value can't be read");
+  if (part_ == Part::kTrailerFields) return true;  // no trailer field is of use here
+  if (fields().size() >= limits_.max_fields) return fail(431, "too many fields");
+  fields().emplace_back(lowered(line.substr(0, colon)), value);
+  return true;
+}
+
+// ---- Framing (RFC 9112, 6.3)
+// -------------------------------------------------------------------------------
+
+bool MessageReader::on_header_complete() {
+  if (!is_request() && response_.status < 200) return skip_interim_response();
+  const Fields& header = fields();
+  bool& keep_alive = is_request() ? request_.keep_alive : response_.keep_alive;
+  keep_alive = !is_http_1_0_ && !list_contains(find(header, "connection"), "close");
+  const bool has_transfer_encoding = count(header, "transfer-encoding") > 0;
+  const bool has_content_length = count(header, "content-length") > 0;
+  if (has_transfer_encoding && has_content_length)
+    return fail(400, "both Content-Length and Transfer-Encoding");
+  if (count(header, "host") > 1) return fail(400, "more than one Host");
+  if (has_transfer_encoding) return start_chunked_content();
+  const bool never_has_content = !is_request() && (response_.status == 204 || response_.status == 304);
+  if (never_has_content) return complete();
+  if (has_content_length) return start_sized_content();
+  if (is_request()) return complete();
+  part_ = Part::kContentUntilClose;
   response_.keep_alive = false;
-  return ParseStatus::kComplete;
+  return true;
 }
 
-ParseStatus Reader::chunk_size(std::string_view text) {
-  text = trimmed(text.substr(0, text.find(';')));
-  if (text.empty() || text.size() > 8) return bad(400, "a chunk's length can't be read");
+bool MessageReader::skip_interim_response() {
+  const bool switches_protocols = response_.status == 101;
+  if (switches_protocols || ++interim_responses_ > limits_.max_interim_responses)
+    return fail(400, "too many interim answers");
+  response_ = {};
+  header_bytes_left_ = limits_.max_header_bytes;
+  part_ = Part::kStartLine;
+  return true;
+}
+
+bool MessageReader::start_chunked_content() {
+  if (is_http_1_0_) return fail(400, "Transfer-Encoding in HTTP/1.0");
+  const Fields& header = fields();
+  if (count(header, "transfer-encoding") > 1 || lowered(find(header, "transfer-encoding")) != "chunked")
+    return fail(501, "a transfer coding other than chunked");
+  part_ = Part::kChunkSize;
+  return true;
+}
+
+bool MessageReader::start_sized_content() {
+  const Fields& header = fields();
+  if (count(header, "content-length") > 1) return fail(400, "more than one Content-Length");
+  const std::string_view length = find(header, "content-length");
+  if (length.empty() || !std::all_of(length.begin(), length.end(), is_digit))
+    return fail(400, "Content-Length is no length");
+  const long long bytes = parse_decimal(length, static_cast<long long>(limits_.max_body_bytes));
+  if (bytes < 0) return fail(413, "the body is too long");
+  content_bytes_left_ = static_cast<size_t>(bytes);
+  part_ = Part::kContent;
+  return true;
+}
+
+// ---- Content
+// -----------------------------------------------------------------------------------------------
+
+bool MessageReader::parse_content() {
+  const std::string_view content = unparsed().substr(0, content_bytes_left_);
+  body() += content;
+  content_bytes_left_ -= content.size();
+  consume(content.size());
+  if (content_bytes_left_ > 0) return false;
+  if (part_ == Part::kContent) return complete();
+  part_ = Part::kChunkEnd;
+  return true;
+}
+
+bool MessageReader::parse_chunk_size() {
+  header_bytes_left_ = kMaxChunkLineBytes;
+  const std::optional<std::string_view> line = take_line();
+  if (!line) return false;
+  const std::string_view digits = trim_whitespace(line->substr(0, line->find(';')));  // without extensions
+  if (digits.empty() || digits.size() > kMaxChunkSizeDigits)
+    return fail(400, "a chunk's length can't be read");
   size_t size = 0;
-  for (const char c : text) {
-    const int digit = c >= '0' && c <= '9'   ? c - '0'
-                      : c >= 'a' && c <= 'f' ? c - 'a' + 10
-                      : c >= 'A' && c <= 'F' ? c - 'A' + 10
-                                             : -1;
-    if (digit < 0) return bad(400, "a chunk's length can't be read");
+  for (const char c : digits) {
+    const int digit = hex_digit_value(c);
+    if (digit < 0) return fail(400, "a chunk's length can't be read");
     size = size * 16 + static_cast<size_t>(digit);
   }
-  if (size > limits_.max_body_bytes - body().size()) return bad(413, "the body is too long");
-  left_ = size;
-  stage_ = size == 0 ? Stage::kTrailers : Stage::kChunkData;
-  head_left_ = limits_.max_header_bytes;
-  return ParseStatus::kComplete;
+  if (size > limits_.max_body_bytes - body().size()) return fail(413, "the body is too long");
+  content_bytes_left_ = size;
+  header_bytes_left_ = limits_.max_header_bytes;
+  const bool is_last_chunk = size == 0;
+  part_ = is_last_chunk ? Part::kTrailerFields : Part::kChunkData;
+  return true;
+}
+
+bool MessageReader::parse_chunk_end() {
+  static constexpr std::string_view kCrlf = "\r\n";
+  if (buffered_bytes() < kCrlf.size()) return false;
+  if (!unparsed().starts_with(kCrlf)) return fail(400, "a chunk is longer than told");
+  consume(kCrlf.size());
+  part_ = Part::kChunkSize;
+  return true;
 }
 
-ParseStatus Reader::finish() {
-  if (state_ != ParseStatus::kNeedMore) return state_;
-  if (stage_ == Stage::kUntilClose) return done();
-  return bad(400, "the connection ended within an answer");
+bool MessageReader::parse_content_until_close() {
+  if (body().size() + buffered_bytes() > limits_.max_body_bytes) return fail(413, "the body is too long");
+  body() += unparsed();
+  consume(buffered_bytes());
+  return false;
 }
 
+// ---- Messages
+// ----------------------------------------------------------------------------------------------
+
 Request RequestReader::take() {
   Request out = std::move(request_);
-  start_over();
+  start_next_message();
   return out;
 }
 
 Response ResponseReader::take() {
   Response out = std::move(response_);
-  start_over();
+  start_next_message();
   return out;
 }
 
