--- a/tests/http/http_test.cpp
+++ b/tests/http/reader_test.cpp
@@ -1,11 +1,12 @@
-// The HTTP reader: whole, byte by byte, and what must not be read.
+// Parsing of HTTP messages in one piece and byte by byte, and rejection of malformed ones.
+#include "http/reader.h"
+
 #include <gtest/gtest.h>
 
 #include <string>
 #include <vector>
 
 #include "http/message.h"
-#include "http/reader.h"
 
 namespace sablelink::http {
 namespace {
@@ -14,46 +15,47 @@
     "POST /v1/report HTTP/1.1\r\nHost: service.internal\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\n"
     "X-Timeout-Ms:  1500 \r\nContent-Length: 8\r\n\r\nSELECT 1";
 
-struct Read {
-  ParseStatus state = ParseStatus::kNeedMore;
+struct ParseResult {
+  ParseStatus status = ParseStatus::kNeedMore;
   Request request;
-  int status = 0;
+  int error_status = 0;
 };
 
-Read read_request(const std::string& bytes, size_t step, const MessageLimits& limits = {}) {
+// Feeds the bytes in pieces of `piece_size`.
+ParseResult parse_request(const std::string& bytes, size_t piece_size, const MessageLimits& limits = {}) {
   RequestReader reader(limits);
-  Read out;
-  for (size_t at = 0; at < bytes.size() && out.state == ParseStatus::kNeedMore; at += step)
-    out.state = reader.feed(std::string_view(bytes).substr(at, step));
-  if (out.state == ParseStatus::kComplete) out.request = reader.take();
-  out.status = reader.error_status();
+  ParseResult out;
+  for (size_t at = 0; at < bytes.size() && out.status == ParseStatus::kNeedMore; at += piece_size)
+    out.status = reader.feed(std::string_view(bytes).substr(at, piece_size));
+  if (out.status == ParseStatus::kComplete) out.request = reader.take();
+  out.error_status = reader.error_status();
   return out;
 }
 
-TEST(Http, RequestsInPiecesOfAnySizeAreTheSame) {
+TEST(HttpReader, RequestInPiecesOfAnySizeIsParsed) {
   for (size_t step = 1; step <= kPost.size(); ++step) {
-    const Read read = read_request(kPost, step);
-    ASSERT_EQ(read.state, ParseStatus::kComplete) << step;
-    EXPECT_EQ(read.request.method, "POST");
-    EXPECT_EQ(read.request.target, "/v1/report");
-    EXPECT_EQ(find(read.request.fields, "x-timeout-ms"), "1500");
-    EXPECT_EQ(read.request.body, "SELECT 1");
-    EXPECT_TRUE(read.request.keep_alive);
+    const ParseResult result = parse_request(kPost, step);
+    ASSERT_EQ(result.status, ParseStatus::kComplete) << step;
+    EXPECT_EQ(result.request.method, "POST");
+    EXPECT_EQ(result.request.target, "/v1/report");
+    EXPECT_EQ(find(result.request.fields, "x-timeout-ms"), "1500");
+    EXPECT_EQ(result.request.body, "SELECT 1");
+    EXPECT_TRUE(result.request.keep_alive);
   }
 }
 
-TEST(Http, ChunksArePutTogether) {
+TEST(HttpReader, ChunkedContentIsJoined) {
   const std::string text =
       "POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6;x=y\r\nSELECT\r\n2\r\n 1\r\n0\r\nT: "
       "v\r\n\r\n";
   for (size_t step = 1; step <= text.size(); ++step) {
-    const Read read = read_request(text, step);
-    ASSERT_EQ(read.state, ParseStatus::kComplete) << step;
-    EXPECT_EQ(read.request.body, "SELECT 1");
+    const ParseResult result = parse_request(text, step);
+    ASSERT_EQ(result.status, ParseStatus::kComplete) << step;
+    EXPECT_EQ(result.request.body, "SELECT 1");
   }
 }
 
-TEST(Http, TheNextMessageMayBeThereAlready) {
+TEST(HttpReader, PipelinedMessageIsBuffered) {
   RequestReader reader{MessageLimits{}};
   ASSERT_EQ(reader.feed(kPost + kPost.substr(0, 30)), ParseStatus::kComplete);
   EXPECT_TRUE(reader.has_buffered_bytes());
@@ -65,7 +67,7 @@
   EXPECT_TRUE(reader.is_at_message_start());
 }
 
-TEST(Http, WhatCanBeReadInTwoWaysIsNotRead) {
+TEST(HttpReader, AmbiguousOrOversizedMessageIsMalformed) {
   const auto head = [](const std::string& fields) { return "POST /v1/a HTTP/1.1\r\n" + fields + "\r\n"; };
   const std::vector<std::pair<std::string, int>> cases = {
       {head("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n") + "0\r\n\r\n", 400},
@@ -101,46 +103,46 @@
   };
   for (const auto& [bytes, status] : cases)
     for (const size_t step : {size_t{1}, size_t{7}, bytes.size()}) {
-      const Read read = read_request(bytes, step);
-      EXPECT_EQ(read.state, ParseStatus::kMalformed) << bytes.substr(0, 80);
-      EXPECT_EQ(read.status, status) << bytes.substr(0, 80);
+      const ParseResult result = parse_request(bytes, step);
+      EXPECT_EQ(result.status, ParseStatus::kMalformed) << bytes.substr(0, 80);
+      EXPECT_EQ(result.error_status, status) << bytes.substr(0, 80);
     }
   std::string many = "GET / HTTP/1.1\r\n";
   for (int i = 0; i < 65; ++i) many += "A: b\r\n";
-  EXPECT_EQ(read_request(many, 5).status, 431);
+  EXPECT_EQ(parse_request(many, 5).error_status, 431);
 }
 
-// A reader that kept what it has read would hold all of a body that never ends.
-TEST(Http, NothingGrowsPastItsLimit) {
+// Parsed bytes are discarded, or content that never ends would fill the memory.
+TEST(HttpReader, ContentAndInterimResponsesAreBounded) {
   MessageLimits limits;
   limits.max_body_bytes = 1000;
   RequestReader reader(limits);
-  ParseStatus state = reader.feed("POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
+  ParseStatus status = reader.feed("POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
   size_t fed = 0;
-  while (state == ParseStatus::kNeedMore && fed < 1 << 20) {
-    state = reader.feed("5\r\nabcde\r\n");
+  while (status == ParseStatus::kNeedMore && fed < 1 << 20) {
+    status = reader.feed("5\r\nabcde\r\n");
     fed += 5;
   }
-  EXPECT_EQ(state, ParseStatus::kMalformed);
+  EXPECT_EQ(status, ParseStatus::kMalformed);
   EXPECT_LE(fed, 1005u);
   EXPECT_EQ(reader.buffered_bytes(), 0u);
-  // Interim answers, too, come to an end.
-  ResponseReader answers(limits);
+  // Interim responses are limited in number.
+  ResponseReader responses(limits);
   int interim = 0;
-  for (state = ParseStatus::kNeedMore; state == ParseStatus::kNeedMore && interim < 100; ++interim)
-    state = answers.feed("HTTP/1.1 102 Processing\r\n\r\n");
-  EXPECT_EQ(state, ParseStatus::kMalformed);
+  for (status = ParseStatus::kNeedMore; status == ParseStatus::kNeedMore && interim < 100; ++interim)
+    status = responses.feed("HTTP/1.1 102 Processing\r\n\r\n");
+  EXPECT_EQ(status, ParseStatus::kMalformed);
   EXPECT_EQ(interim, 9);
 }
 
-TEST(Http, AnswersByLengthByChunksByEndAndAfterInterimOnes) {
+TEST(HttpReader, ResponseIsFramedByLengthOrCloseAfterInterimOnes) {
   const auto read = [](const std::string& bytes, bool ends, size_t step) {
     ResponseReader reader{MessageLimits{}};
-    ParseStatus state = ParseStatus::kNeedMore;
+    ParseStatus status = ParseStatus::kNeedMore;
     for (size_t at = 0; at < bytes.size(); at += step)
-      state = reader.feed(std::string_view(bytes).substr(at, step));
-    if (ends) state = reader.finish();
-    return std::make_pair(state, reader.take());
+      status = reader.feed(std::string_view(bytes).substr(at, step));
+    if (ends) status = reader.finish();
+    return std::make_pair(status, reader.take());
   };
   for (const size_t step : {size_t{1}, size_t{3}, size_t{1000}}) {
     const auto [a, sized] =
@@ -164,7 +166,7 @@
   }
 }
 
-TEST(Http, WhatIsWrittenIsReadBack) {
+TEST(HttpMessage, WrittenMessageIsParsedBack) {
   RequestReader requests{MessageLimits{}};
   ASSERT_EQ(requests.feed(write_request("POST", "/v2/q", "10.0.0.1:80", {{"X-Ticket", "ab"}}, "SELECT 1")),
             ParseStatus::kComplete);
@@ -173,14 +175,14 @@
   EXPECT_EQ(find(request.fields, "x-ticket"), "ab");
   EXPECT_EQ(request.body, "SELECT 1");
   ASSERT_EQ(requests.feed(write_request("DELETE", "/v2/q/ab", "h", {})), ParseStatus::kComplete);
-  ResponseReader answers{MessageLimits{}};
-  ASSERT_EQ(answers.feed(write_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)),
+  ResponseReader responses{MessageLimits{}};
+  ASSERT_EQ(responses.feed(write_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)),
             ParseStatus::kComplete);
-  EXPECT_FALSE(answers.response().keep_alive);
-  EXPECT_EQ(answers.take().body, "{}");
+  EXPECT_FALSE(responses.response().keep_alive);
+  EXPECT_EQ(responses.take().body, "{}");
 }
 
-TEST(Http, WholeNumbersAlone) {
+TEST(HttpMessage, ParseDecimalAcceptsDigitsAlone) {
   EXPECT_EQ(parse_decimal("0", 10), 0);
   EXPECT_EQ(parse_decimal("10", 10), 10);
   for (const char* wrong : {"", "11", "-1", "+1", "1.0", " 1", "1 ", "0x1", "1e1", "99999999999999999999"})
--- a/tests/platform/descriptor_budget_test.cpp
+++ b/tests/platform/descriptor_budget_test.cpp
@@ -6,7 +6,7 @@
 namespace sablelink::test {
 namespace {
 
-TEST(PlatformDescriptors, AllPartsFitUnderTheLimit) {
+TEST(DescriptorBudget, PartsFitUnderTheLimit) {
   for (const size_t limit : {256, 384, 512, 1024}) {
     const auto budget = platform::DescriptorBudget::from_limit(limit);
     EXPECT_LE(budget.clients + budget.engines + 24, limit);
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -1,6 +1,6 @@
-// Two events that cross on real connections of the platform side: one waits in the kernel, unread, while the
-// other is being done. Every byte is held until the other event has happened, so the order is the same each
-// time.
+// Races on real connections of the platform side: one event waits in the kernel, unread, while the gateway
+// handles another. Every byte is held until the other event has happened, so that the order is the same in
+// every run.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -27,48 +27,54 @@
 namespace sablelink::test {
 namespace {
 
-// A blocking socket of the test's own. What it sends is in the other side's kernel when send() returns.
+size_t occurrences(const std::string& text, const std::string& wanted) {
+  size_t n = 0;
+  for (size_t at = text.find(wanted); at != std::string::npos; at = text.find(wanted, at + 1)) ++n;
+  return n;
+}
+
+// A blocking socket of the test's own. Sent bytes are in the peer's receive buffer when send() returns.
 class RawSocket {
  public:
   explicit RawSocket(int fd) : fd_(fd) {}
   RawSocket(RawSocket&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   ~RawSocket() { close(); }
   static RawSocket connect(int port) {
-    RawSocket s(::socket(AF_INET, SOCK_STREAM, 0));
+    RawSocket connection(::socket(AF_INET, SOCK_STREAM, 0));
     const sockaddr_in to = address(port);
-    EXPECT_EQ(::connect(s.fd_, reinterpret_cast<const sockaddr*>(&to), sizeof(to)), 0);
-    return s;
+    EXPECT_EQ(::connect(connection.fd_, reinterpret_cast<const sockaddr*>(&to), sizeof(to)), 0);
+    return connection;
   }
   static RawSocket listen(int* port) {
-    RawSocket s(::socket(AF_INET, SOCK_STREAM, 0));
+    RawSocket listener(::socket(AF_INET, SOCK_STREAM, 0));
     sockaddr_in at = address(0);
-    EXPECT_EQ(::bind(s.fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
-    EXPECT_EQ(::listen(s.fd_, 16), 0);
+    EXPECT_EQ(::bind(listener.fd_, reinterpret_cast<sockaddr*>(&at), sizeof(at)), 0);
+    EXPECT_EQ(::listen(listener.fd_, 16), 0);
     socklen_t size = sizeof(at);
-    ::getsockname(s.fd_, reinterpret_cast<sockaddr*>(&at), &size);
+    ::getsockname(listener.fd_, reinterpret_cast<sockaddr*>(&at), &size);
     *port = ntohs(at.sin_port);
-    return s;
+    return listener;
   }
-  // A connection that stands, if there is one.
+  // The next connection in the backlog, if there is one.
   std::optional<RawSocket> accept() {
-    pollfd one{fd_, POLLIN, 0};
-    if (::poll(&one, 1, 0) <= 0) return std::nullopt;
+    pollfd listener{fd_, POLLIN, 0};
+    if (::poll(&listener, 1, 0) <= 0) return std::nullopt;
     return RawSocket(::accept(fd_, nullptr, nullptr));
   }
   void send(const std::string& bytes) {
     EXPECT_EQ(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
-  // Takes what has come; notes how the connection ended.
+  // Appends all bytes that have arrived to `received`; records how the connection ended.
   void receive() {
-    char piece[4096];
+    char buffer[4096];
     for (;;) {
-      const ssize_t n = ::recv(fd_, piece, sizeof(piece), MSG_DONTWAIT);
+      const ssize_t n = ::recv(fd_, buffer, sizeof(buffer), MSG_DONTWAIT);
       if (n > 0) {
-        in.append(piece, static_cast<size_t>(n));
+        received.append(buffer, static_cast<size_t>(n));
         continue;
       }
-      if (n == 0) ended = true;
-      if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) broken = true;
+      if (n == 0) closed = true;
+      if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) reset = true;
       return;
     }
   }
@@ -76,8 +82,9 @@
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
 
-  std::string in;
-  bool ended = false, broken = false;
+  std::string received;
+  bool closed = false;  // by the peer, in order
+  bool reset = false;
 
  private:
   static sockaddr_in address(int port) {
@@ -90,81 +97,84 @@
   int fd_;
 };
 
-class PlatformCrossing : public testing::Test {
+class HttpServerRace : public testing::Test {
  protected:
-  explicit PlatformCrossing(size_t connections = 20) {
-    node_listener_ = std::make_unique<RawSocket>(RawSocket::listen(&node_port_));
-    config::EngineConfig node;
-    node.name = "n";
-    node.address = "127.0.0.1:" + std::to_string(node_port_);
-    directory_.replace({node});
-    platform::EngineClientOptions to_nodes;
-    to_nodes.budget.engines = 2;
-    to_nodes.classes = {"lookup", "report"};
-    nodes_ = std::make_unique<platform::EngineClient>(to_nodes, *net_, loop_, directory_);
+  explicit HttpServerRace(size_t connections = 20) {
+    engine_listener_ = std::make_unique<RawSocket>(RawSocket::listen(&engine_port_));
+    config::EngineConfig engine;
+    engine.name = "n";
+    engine.address = "127.0.0.1:" + std::to_string(engine_port_);
+    endpoint_registry_.replace({engine});
+    platform::EngineClientOptions engine_options;
+    engine_options.budget.engines = 2;
+    engine_options.classes = {"lookup", "report"};
+    engine_client_ =
+        std::make_unique<platform::EngineClient>(engine_options, *net_, loop_, endpoint_registry_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
-        plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *nodes_, lists_, log_);
-    nodes_->set_dispatcher(dispatcher_.get());
-    platform::HttpServerOptions to_clients;
-    to_clients.classes = to_nodes.classes;
-    to_clients.max_timeout_us = {5 * kSecond, 15 * kSecond};
-    to_clients.max_connections = connections;
-    front_ = std::make_unique<platform::HttpServer>(to_clients, *dispatcher_, *net_, loop_);
-    port_ = net_->listen("127.0.0.1:0", [this](auto stream) { return front_->serve(std::move(stream)); });
+        plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *engine_client_, endpoint_source_, log_);
+    engine_client_->set_dispatcher(dispatcher_.get());
+    platform::HttpServerOptions server_options;
+    server_options.classes = engine_options.classes;
+    server_options.max_timeout_us = {5 * kSecond, 15 * kSecond};
+    server_options.max_connections = connections;
+    http_server_ = std::make_unique<platform::HttpServer>(server_options, *dispatcher_, *net_, loop_);
+    port_ =
+        net_->listen("127.0.0.1:0", [this](auto stream) { return http_server_->serve(std::move(stream)); });
     dispatcher_->start();
-    nodes_->on_endpoints_changed();
-    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, directory_.endpoints());
+    engine_client_->on_endpoints_changed();
+    dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, endpoint_registry_.endpoints());
     loop_.poll();
   }
-  ~PlatformCrossing() override {
-    front_.reset();
-    nodes_.reset();
+  ~HttpServerRace() override {
+    http_server_.reset();
+    engine_client_.reset();
     dispatcher_.reset();
     net_.reset();
     loop_.poll();
   }
 
-  // Lets the gateway run until the condition holds; false after 20 s.
-  template <typename Holds>
-  bool until(Holds holds) {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!holds()) {
-      if (std::chrono::steady_clock::now() > end) return false;
+  // Runs the gateway until the condition holds; false after 20 s.
+  template <typename Condition>
+  bool wait_until(Condition condition) {
+    const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (!condition()) {
+      if (std::chrono::steady_clock::now() > give_up_at) return false;
       loop_.poll();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     return true;
   }
-  // True once an answer of that status is there.
-  bool answered(RawSocket& client, const std::string& status) {
-    return until([&] {
+  // Whether the client receives a response of that status.
+  bool receives_status(RawSocket& client, const std::string& status) {
+    return wait_until([&] {
              client.receive();
-             return client.in.starts_with("HTTP/1.1 " + status) || client.ended || client.broken;
+             return client.received.starts_with("HTTP/1.1 " + status) || client.closed || client.reset;
            }) &&
-           client.in.starts_with("HTTP/1.1 " + status);
+           client.received.starts_with("HTTP/1.1 " + status);
   }
-  // A connection that has been served and rests.
-  RawSocket resting() {
+  // A connection on which one request has been answered.
+  RawSocket idle_connection() {
     RawSocket client = RawSocket::connect(port_);
-    client.send(health());
-    EXPECT_TRUE(answered(client, "200"));
-    client.in.clear();
+    client.send(health_check());
+    EXPECT_TRUE(receives_status(client, "200"));
+    client.received.clear();
     return client;
   }
-  static std::string health() { return http::write_request("GET", "/healthz", "h", {}); }
-  static std::string statement(int n) {
+  static std::string health_check() { return http::write_request("GET", "/healthz", "h", {}); }
+  static std::string query(int n) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", n);
     return http::write_request("POST", "/v1/lookup", "h", {{"X-Request-Id", id}, {"X-Timeout-Ms", "5000"}},
                                "SELECT 1");
   }
-  // Takes what the gateway connects and sends to the node.
-  size_t node_calls(const std::string& call) {
-    while (auto s = node_listener_->accept()) node_side_.push_back(std::move(*s));
+  // How often the text has arrived at the engine so far.
+  size_t engine_request_count(const std::string& text) {
+    while (auto connection = engine_listener_->accept())
+      engine_connections_.push_back(std::move(*connection));
     size_t n = 0;
-    for (RawSocket& s : node_side_) {
-      s.receive();
-      for (size_t at = s.in.find(call); at != std::string::npos; at = s.in.find(call, at + 1)) ++n;
+    for (RawSocket& connection : engine_connections_) {
+      connection.receive();
+      n += occurrences(connection.received, text);
     }
     return n;
   }
@@ -172,135 +182,136 @@
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
   std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(loop_);
-  std::unique_ptr<RawSocket> node_listener_;
-  std::vector<RawSocket> node_side_;
-  int node_port_ = 0, port_ = 0;
-  struct NoLists : dispatch::EndpointSource {
+  std::unique_ptr<RawSocket> engine_listener_;
+  std::vector<RawSocket> engine_connections_;
+  int engine_port_ = 0;
+  int port_ = 0;  // of the gateway
+  struct StaticEndpointSource : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
-  } lists_;
+  } endpoint_source_;
   NullLog log_;
-  membership::EndpointRegistry directory_;
-  std::unique_ptr<platform::EngineClient> nodes_;
+  membership::EndpointRegistry endpoint_registry_;
+  std::unique_ptr<platform::EngineClient> engine_client_;
   std::unique_ptr<dispatch::RequestDispatcher> dispatcher_;
-  std::unique_ptr<platform::HttpServer> front_;
+  std::unique_ptr<platform::HttpServer> http_server_;
 };
 
-class PlatformCrossingFull : public PlatformCrossing {
+class HttpServerRaceAtLimit : public HttpServerRace {
  protected:
-  PlatformCrossingFull() : PlatformCrossing(2) {}
+  HttpServerRaceAtLimit() : HttpServerRace(2) {}
 };
 
-// Connected and sent, not yet accepted: the listener's close would reset it.
-TEST_F(PlatformCrossing, ARequestInTheBacklogAsTheListenerClosesIsAnswered) {
+// Closing the listener would reset connections that have not been accepted.
+TEST_F(HttpServerRace, RequestInTheBacklogIsAnsweredAfterTheListenerCloses) {
   std::vector<RawSocket> clients;
   for (int i = 0; i < 3; ++i) {
     clients.push_back(RawSocket::connect(port_));
-    clients.back().send(health());
+    clients.back().send(health_check());
   }
-  front_->start_draining();
+  http_server_->start_draining();
   net_->stop_listening();
-  for (RawSocket& client : clients) EXPECT_TRUE(answered(client, "503"));
+  for (RawSocket& client : clients) EXPECT_TRUE(receives_status(client, "503"));
 }
 
-// Its bytes wait to be read as the connection, by all that was read of it at rest, is to be closed.
-TEST_F(PlatformCrossing, ARequestUnreadAsItsConnectionIsToCloseIsAnswered) {
-  RawSocket client = resting();
-  client.send(health());
-  front_->start_draining();
-  front_->close_idle_connections();
-  EXPECT_TRUE(answered(client, "503"));
+// The request waits in the kernel: by what has been read so far the connection is idle.
+TEST_F(HttpServerRace, UnreadRequestKeepsItsIdleConnectionOpen) {
+  RawSocket client = idle_connection();
+  client.send(health_check());
+  http_server_->start_draining();
+  http_server_->close_idle_connections();
+  EXPECT_TRUE(receives_status(client, "503"));
 }
 
-// Two calls at once: the second one came before the drain, and isn't dropped with the answer to the first.
-TEST_F(PlatformCrossing, ACallBehindAnotherIsAnsweredThoughADrainBegins) {
+// The second request arrived before draining began: the connection doesn't close after the first response.
+TEST_F(HttpServerRace, PipelinedRequestIsAnsweredThoughDrainingBegins) {
   RawSocket client = RawSocket::connect(port_);
-  client.send(health() + health());
-  front_->start_draining();
-  EXPECT_TRUE(until([&] {
+  client.send(health_check() + health_check());
+  http_server_->start_draining();
+  EXPECT_TRUE(wait_until([&] {
     client.receive();
-    return client.ended || client.broken;
+    return client.closed || client.reset;
   }));
-  size_t answers = 0;
-  for (size_t at = client.in.find("HTTP/1.1 503"); at != std::string::npos; ++answers)
-    at = client.in.find("HTTP/1.1 503", at + 1);
-  EXPECT_EQ(answers, 2u);
-  EXPECT_TRUE(client.ended);
+  EXPECT_EQ(occurrences(client.received, "HTTP/1.1 503"), 2u);
+  EXPECT_TRUE(client.closed);
 }
 
-// The close comes first: the client hears of an end, not of a break, and what it sends then goes nowhere.
-TEST_F(PlatformCrossing, ARequestBehindTheCloseOfARestingConnectionIsNotTaken) {
-  RawSocket client = resting();
-  front_->start_draining();
-  front_->close_idle_connections();
-  client.send(statement(1));
-  EXPECT_TRUE(until([&] {
+// The client sees the connection closed in order, not reset.
+TEST_F(HttpServerRace, RequestAfterTheHalfCloseIsIgnored) {
+  RawSocket client = idle_connection();
+  http_server_->start_draining();
+  http_server_->close_idle_connections();
+  client.send(query(1));
+  EXPECT_TRUE(wait_until([&] {
     client.receive();
-    return client.ended || client.broken;
+    return client.closed || client.reset;
   }));
-  EXPECT_TRUE(client.ended);
-  EXPECT_FALSE(client.broken);
-  EXPECT_TRUE(until([&] { return front_->is_idle(); }));
+  EXPECT_TRUE(client.closed);
+  EXPECT_FALSE(client.reset);
+  EXPECT_TRUE(wait_until([&] { return http_server_->is_idle(); }));
   EXPECT_EQ(dispatcher_->counters().accepted, 0u);
 }
 
-// A new connection needs room as the oldest at rest has just sent its next request: another one goes.
-TEST_F(PlatformCrossingFull, ARequestUnreadAsRoomIsMadeKeepsItsConnection) {
-  RawSocket oldest = resting();
-  RawSocket other = resting();
-  RawSocket fresh = RawSocket::connect(port_);  // the gateway hears of it first
-  oldest.send(health());
-  EXPECT_TRUE(answered(oldest, "200"));
-  fresh.send(health());
-  EXPECT_TRUE(answered(fresh, "200"));
-  EXPECT_TRUE(until([&] {
+// The longest idle connection has just sent its next request: another one is evicted.
+TEST_F(HttpServerRaceAtLimit, ConnectionWithAnUnreadRequestIsNotEvicted) {
+  RawSocket oldest = idle_connection();
+  RawSocket other = idle_connection();
+  RawSocket fresh = RawSocket::connect(port_);  // the gateway accepts it first
+  oldest.send(health_check());
+  EXPECT_TRUE(receives_status(oldest, "200"));
+  fresh.send(health_check());
+  EXPECT_TRUE(receives_status(fresh, "200"));
+  EXPECT_TRUE(wait_until([&] {
     other.receive();
-    return other.ended;
+    return other.closed;
   }));
-  EXPECT_EQ(front_->counters().evicted_connections, 1u);
+  EXPECT_EQ(http_server_->counters().evicted_connections, 1u);
 }
 
-// A burst of new connections, none of which has sent its request when the next one is accepted.
-TEST_F(PlatformCrossingFull, ANewConnectionIsNotGivenUpForTheNextOne) {
-  RawSocket at_rest = resting();
+// In a burst, no connection has sent its request when the next one is accepted.
+TEST_F(HttpServerRaceAtLimit, NewConnectionIsNotEvictedForTheNextOne) {
+  RawSocket idle = idle_connection();
   RawSocket first = RawSocket::connect(port_);
   RawSocket second = RawSocket::connect(port_);
-  EXPECT_TRUE(until([&] { return front_->counters().accepted_connections == 3; }));
-  first.send(health());
-  second.send(health());
-  EXPECT_TRUE(answered(first, "200"));
-  EXPECT_TRUE(answered(second, "200"));
+  EXPECT_TRUE(wait_until([&] { return http_server_->counters().accepted_connections == 3; }));
+  first.send(health_check());
+  second.send(health_check());
+  EXPECT_TRUE(receives_status(first, "200"));
+  EXPECT_TRUE(receives_status(second, "200"));
 }
 
-// Its start waits for a connection. One becomes free, and its client closes, before the gateway looks.
-TEST_F(PlatformCrossing, AStartWhoseClientHasJustGoneDoesNotLeave) {
+// The attempt waits for a connection to the engine. One becomes free, and the client disconnects, before the
+// gateway runs again.
+TEST_F(HttpServerRace, QueuedAttemptIsNotSentAfterItsClientDisconnects) {
   std::vector<RawSocket> clients;
   for (int n = 1; n <= 3; ++n) {
     clients.push_back(RawSocket::connect(port_));
-    clients.back().send(statement(n));
+    clients.back().send(query(n));
   }
-  ASSERT_TRUE(until([&] { return node_calls("POST /v2/q ") == 2 && dispatcher_->counters().attempts == 3; }));
+  ASSERT_TRUE(wait_until(
+      [&] { return engine_request_count("POST /v2/q ") == 2 && dispatcher_->counters().attempts == 3; }));
   size_t sent = 2;
-  uint64_t left = 0;
-  for (int round = 0; round < 50 && left == 0; ++round) {
-    // The answer is read in one turn. Its connection rests for some ms, which pass without a turn.
-    node_side_[0].send(http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true));
+  uint64_t disconnected = 0;
+  for (int round = 0; round < 50 && disconnected == 0; ++round) {
+    // The response is read in one turn of the loop. Its connection is reused only some ms later, which pass
+    // without a turn.
+    engine_connections_[0].send(http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true));
     loop_.poll();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    if (node_calls("POST /v2/q ") > sent) {  // this thread stood still for so long: once more
+    if (engine_request_count("POST /v2/q ") > sent) {  // this thread was suspended meanwhile: try again
       clients.push_back(RawSocket::connect(port_));
-      clients.back().send(statement(10 + round));
+      clients.back().send(query(10 + round));
       ++sent;
-      const uint64_t taken = dispatcher_->counters().accepted + 1;
-      ASSERT_TRUE(until([&] { return dispatcher_->counters().accepted == taken; }));
+      const uint64_t expected = dispatcher_->counters().accepted + 1;
+      ASSERT_TRUE(wait_until([&] { return dispatcher_->counters().accepted == expected; }));
       continue;
     }
     clients.back().close();
-    ASSERT_TRUE(until([&] { return dispatcher_->counters().disconnected == 1; }));
-    left = dispatcher_->counters().disconnected;
+    ASSERT_TRUE(wait_until([&] { return dispatcher_->counters().disconnected == 1; }));
+    disconnected = dispatcher_->counters().disconnected;
   }
-  EXPECT_EQ(left, 1u);
-  EXPECT_EQ(node_calls("POST /v2/q "), sent);
+  EXPECT_EQ(disconnected, 1u);
+  EXPECT_EQ(engine_request_count("POST /v2/q "), sent);
 }
 
 }  // namespace
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -8,21 +8,20 @@
 
 using ClientResponse = PlatformFixture::ClientResponse;
 
-// ---- Clients that send what they should not --------------------------------------------------------------
-
-TEST(Platform, WhatIsNoCallIsTurnedAwayAndReachesNoNode) {
+TEST(HttpServer, InvalidRequestIsRejectedAndReachesNoEngine) {
   const std::string id = make_request_id(5);
   const auto post = [&](const std::string& fields, const std::string& body = "SELECT 1") {
     return "POST /v1/lookup HTTP/1.1\r\nHost: h\r\n" + fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   };
-  const std::string good_id = "X-Request-Id: " + id + "\r\n", good_time = "X-Timeout-Ms: 1500\r\n";
+  const std::string good_id = "X-Request-Id: " + id + "\r\n";
+  const std::string good_timeout = "X-Timeout-Ms: 1500\r\n";
   const std::vector<std::pair<std::string, int>> cases = {
-      {post(good_time), 400},
-      {post("X-Request-Id: 9B1F03AA5C7E2D41\r\n" + good_time), 400},
-      {post("X-Request-Id: 9b1f03aa5c7e2d4\r\n" + good_time), 400},
-      {post("X-Request-Id: 9b1f03aa5c7e2d4/../../x\r\n" + good_time), 400},
-      {post(good_id + good_id + good_time), 400},
+      {post(good_timeout), 400},
+      {post("X-Request-Id: 9B1F03AA5C7E2D41\r\n" + good_timeout), 400},
+      {post("X-Request-Id: 9b1f03aa5c7e2d4\r\n" + good_timeout), 400},
+      {post("X-Request-Id: 9b1f03aa5c7e2d4/../../x\r\n" + good_timeout), 400},
+      {post(good_id + good_id + good_timeout), 400},
       {post(good_id), 400},
       {post(good_id + "X-Timeout-Ms: -1\r\n"), 400},
       {post(good_id + "X-Timeout-Ms: 0\r\n"), 400},
@@ -30,222 +29,222 @@
       {post(good_id + "X-Timeout-Ms: 1e3\r\n"), 400},
       {post(good_id + "X-Timeout-Ms: 99999999999999999999\r\n"), 400},
       {post(good_id + "X-Timeout-Ms: 86400000\r\n"), 400},
-      {post(good_id + good_time + good_time), 400},
-      {post(good_id + good_time + "X-Retry: 7\r\n"), 400},
-      {post(good_id + good_time + "X-Cost-Ms: nan\r\n"), 400},
-      {post(good_id + good_time + "X-Est-Mb: -40\r\n"), 400},
-      {post(good_id + good_time, ""), 400},
-      {post(good_id + good_time, std::string("SELECT \0 1", 10)), 400},
-      {post(good_id + good_time, "SELECT '\xc3\x28'"), 400},
-      {post(good_id + good_time, std::string(70'000, 'x')), 413},
-      {"POST /v1/nothing HTTP/1.1\r\n" + good_id + good_time + "Content-Length: 1\r\n\r\nx", 404},
-      {"POST /v1/lookup/more HTTP/1.1\r\n" + good_id + good_time + "Content-Length: 1\r\n\r\nx", 404},
-      {"PUT /v1/lookup HTTP/1.1\r\n" + good_id + good_time + "Content-Length: 1\r\n\r\nx", 405},
+      {post(good_id + good_timeout + good_timeout), 400},
+      {post(good_id + good_timeout + "X-Retry: 7\r\n"), 400},
+      {post(good_id + good_timeout + "X-Cost-Ms: nan\r\n"), 400},
+      {post(good_id + good_timeout + "X-Est-Mb: -40\r\n"), 400},
+      {post(good_id + good_timeout, ""), 400},
+      {post(good_id + good_timeout, std::string("SELECT \0 1", 10)), 400},
+      {post(good_id + good_timeout, "SELECT '\xc3\x28'"), 400},
+      {post(good_id + good_timeout, std::string(70'000, 'x')), 413},
+      {"POST /v1/nothing HTTP/1.1\r\n" + good_id + good_timeout + "Content-Length: 1\r\n\r\nx", 404},
+      {"POST /v1/lookup/more HTTP/1.1\r\n" + good_id + good_timeout + "Content-Length: 1\r\n\r\nx", 404},
+      {"PUT /v1/lookup HTTP/1.1\r\n" + good_id + good_timeout + "Content-Length: 1\r\n\r\nx", 405},
       {"GET /v1/lookup HTTP/1.1\r\n\r\n", 405},
       {"DELETE /v2/q/" + id + " HTTP/1.1\r\n\r\n", 404},
-      {post(good_id + good_time + "Transfer-Encoding: chunked\r\n", "0\r\n\r\n" + post(good_id + good_time)),
+      {post(good_id + good_timeout + "Transfer-Encoding: chunked\r\n",
+            "0\r\n\r\n" + post(good_id + good_timeout)),
        400},
       {"\x16\x03\x01\x05 hello\r\n\r\n", 400},
   };
   for (const auto& [bytes, status] : cases) {
-    PlatformFixture b;
-    ScriptedEngine& node = b.add_engine();
-    b.publish_endpoints();
-    const auto answer = b.send(bytes);
-    b.run_for(3 * kSecond);
-    EXPECT_EQ(answer->status, status) << bytes.substr(0, 160);
-    EXPECT_EQ(node.received_requests.size(), 0u) << bytes.substr(0, 160);
-    EXPECT_EQ(b.dispatcher().counters().accepted, 0u);
+    PlatformFixture fixture;
+    ScriptedEngine& engine = fixture.add_engine();
+    fixture.publish_endpoints();
+    const auto response = fixture.send(bytes);
+    fixture.run_for(3 * kSecond);
+    EXPECT_EQ(response->status, status) << bytes.substr(0, 160);
+    EXPECT_EQ(engine.received_requests.size(), 0u) << bytes.substr(0, 160);
+    EXPECT_EQ(fixture.dispatcher().counters().accepted, 0u);
   }
 }
 
-TEST(Platform, HalfACallAndSilenceAreClosedWithinThreeSeconds) {
-  const std::string whole = PlatformFixture::make_query(make_request_id(1));
-  for (const std::string& half : {std::string(), whole.substr(0, 30), whole.substr(0, whole.size() - 3)}) {
-    PlatformFixture b;
-    b.add_engine();
-    b.publish_endpoints();
-    const auto answer = b.send(half);
-    b.run_for(5 * kSecond);
-    EXPECT_EQ(answer->status, 408) << half.size();
-    EXPECT_LT(answer->elapsed_us, 3 * kSecond);
-    EXPECT_EQ(b.http_server().connection_count(), 0u);
+TEST(HttpServer, IncompleteRequestTimesOutWithinThreeSeconds) {
+  const std::string complete = PlatformFixture::make_query(make_request_id(1));
+  for (const std::string& part :
+       {std::string(), complete.substr(0, 30), complete.substr(0, complete.size() - 3)}) {
+    PlatformFixture fixture;
+    fixture.add_engine();
+    fixture.publish_endpoints();
+    const auto response = fixture.send(part);
+    fixture.run_for(5 * kSecond);
+    EXPECT_EQ(response->status, 408) << part.size();
+    EXPECT_LT(response->elapsed_us, 3 * kSecond);
+    EXPECT_EQ(fixture.http_server().connection_count(), 0u);
   }
 }
 
-TEST(Platform, TheIdOfAnOpenRequestIsTakenOnce) {
-  PlatformFixture b;
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 500'000;
-  b.publish_endpoints();
-  const auto first = b.send(PlatformFixture::make_query(make_request_id(1)));
-  b.run_for(50 * kMs);
-  const auto second = b.send(PlatformFixture::make_query(make_request_id(1), "DELETE FROM sales_17.orders"));
-  b.run_for(2 * kSecond);
+TEST(HttpServer, SecondRequestWithAnOpenIdIsRejected) {
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 500'000;
+  fixture.publish_endpoints();
+  const auto first = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(50 * kMs);
+  const auto second =
+      fixture.send(PlatformFixture::make_query(make_request_id(1), "DELETE FROM sales_17.orders"));
+  fixture.run_for(2 * kSecond);
   EXPECT_EQ(first->status, 200);
   EXPECT_EQ(second->status, 409);
-  EXPECT_EQ(node.request_count("POST"), 1u);
-  // Once it is over, the id is free.
-  const auto third = b.send(PlatformFixture::make_query(make_request_id(1)));
-  b.run_for(2 * kSecond);
+  EXPECT_EQ(engine.request_count("POST"), 1u);
+  // After its response the id can be used again.
+  const auto third = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(2 * kSecond);
   EXPECT_EQ(third->status, 200);
 }
 
-// Hundreds that connect and say nothing don't keep a usual client out.
-TEST(Platform, SilentConnectionsMakeRoom) {
-  PlatformFixture b(10);
-  b.add_engine();
-  b.publish_endpoints();
+// Hundreds of clients that connect and send nothing don't keep others out.
+TEST(HttpServer, SilentConnectionsAreEvictedForNewOnes) {
+  PlatformFixture fixture(10);
+  fixture.add_engine();
+  fixture.publish_endpoints();
   std::vector<std::shared_ptr<ClientResponse>> silent;
   for (int i = 0; i < 200; ++i) {
-    silent.push_back(b.send(""));
-    b.run_for(2 * kMs);
+    silent.push_back(fixture.send(""));
+    fixture.run_for(2 * kMs);
   }
-  EXPECT_LE(b.http_server().connection_count(), 10u);
-  const auto usual = b.send(PlatformFixture::make_query(make_request_id(1)));
-  b.run_for(kSecond);
-  EXPECT_EQ(usual->status, 200);
-  b.run_for(5 * kSecond);
-  for (const auto& s : silent) EXPECT_GE(s->status, 0);
+  EXPECT_LE(fixture.http_server().connection_count(), 10u);
+  const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(kSecond);
+  EXPECT_EQ(response->status, 200);
+  fixture.run_for(5 * kSecond);
+  for (const auto& closed : silent) EXPECT_GE(closed->status, 0);
 }
 
-// A crowd of idle clients costs a question to the system for each that comes, not for each that is there.
-TEST(Platform, MakingRoomAsksAboutFewConnections) {
-  struct QuietStream : rpc::ByteStream {
-    explicit QuietStream(int* asked_by) : asked(asked_by) {}
+// Each check is a system call: a new connection costs at most one of them, however many are idle.
+TEST(HttpServer, EvictionChecksFewConnectionsForUnreadBytes) {
+  struct SilentStream : rpc::ByteStream {
+    explicit SilentStream(int* check_count) : readable_checks(check_count) {}
     rpc::Awaitable<std::optional<std::string>> read(size_t) override {
       co_await closed.wait();
       co_return std::nullopt;
     }
     rpc::Awaitable<size_t> write(std::string_view bytes) override { co_return bytes.size(); }
-    bool readable() const override { return ++*asked < 0; }
+    bool readable() const override { return ++*readable_checks < 0; }
     bool peer_left() const override { return false; }
     void end() override {}
     void close() override { closed.give(); }
     void reset() override { closed.give(); }
     Signal closed;
-    int* const asked;
+    int* const readable_checks;
   };
-  int asked = 0;
-  PlatformFixture b(100);
-  constexpr int kComing = 300;
-  std::vector<std::shared_ptr<QuietStream>> streams;
-  for (int i = 0; i < kComing; ++i) {
-    streams.push_back(std::make_shared<QuietStream>(&asked));
-    boost::asio::co_spawn(b.world().executor(), b.http_server().serve(streams.back()), boost::asio::detached);
-    b.run_for(kMs);
+  int readable_checks = 0;
+  PlatformFixture fixture(100);
+  constexpr int kConnections = 300;
+  std::vector<std::shared_ptr<SilentStream>> streams;
+  for (int i = 0; i < kConnections; ++i) {
+    streams.push_back(std::make_shared<SilentStream>(&readable_checks));
+    boost::asio::co_spawn(fixture.world().executor(), fixture.http_server().serve(streams.back()),
+                          boost::asio::detached);
+    fixture.run_for(kMs);
   }
-  EXPECT_GE(b.http_server().counters().evicted_connections, 200u);
-  EXPECT_LE(asked, kComing);
+  EXPECT_GE(fixture.http_server().counters().evicted_connections, 200u);
+  EXPECT_LE(readable_checks, kConnections);
   for (const auto& stream : streams) stream->close();
-  b.run_for(kMs);
-  EXPECT_EQ(b.http_server().connection_count(), 0u);
+  fixture.run_for(kMs);
+  EXPECT_EQ(fixture.http_server().connection_count(), 0u);
 }
 
-// A connection at work is never given up for one that comes new.
-TEST(Platform, OpenRequestsKeepTheirConnections) {
-  PlatformFixture b(4);
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 800'000;
-  b.publish_endpoints();
+TEST(HttpServer, ConnectionWithAnOpenRequestIsNotEvicted) {
+  PlatformFixture fixture(4);
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 800'000;
+  fixture.publish_endpoints();
   std::vector<std::shared_ptr<ClientResponse>> open;
-  for (int i = 1; i <= 4; ++i) open.push_back(b.send(PlatformFixture::make_query(make_request_id(i))));
-  b.run_for(100 * kMs);
-  const auto further = b.send(PlatformFixture::make_query(make_request_id(9)));
-  b.run_for(2 * kSecond);
-  for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
-  EXPECT_EQ(further->status, 0);
+  for (int i = 1; i <= 4; ++i) open.push_back(fixture.send(PlatformFixture::make_query(make_request_id(i))));
+  fixture.run_for(100 * kMs);
+  const auto next = fixture.send(PlatformFixture::make_query(make_request_id(9)));
+  fixture.run_for(2 * kSecond);
+  for (const auto& response : open) EXPECT_EQ(response->status, 200);
+  EXPECT_EQ(next->status, 0);
 }
 
-// Where all are at work, one that comes further is told so, and reaches no node.
-TEST(Platform, WhereAllConnectionsAreAtWorkOneIsToldSo) {
-  PlatformFixture b(10);
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 800'000;
-  b.publish_endpoints();
+TEST(HttpServer, RequestIsRejectedWhereAllConnectionsAreInUse) {
+  PlatformFixture fixture(10);
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 800'000;
+  fixture.publish_endpoints();
   std::vector<std::shared_ptr<ClientResponse>> open;
-  for (int i = 1; i <= 9; ++i) open.push_back(b.send(PlatformFixture::make_query(make_request_id(i))));
-  b.run_for(100 * kMs);
-  const auto further = b.send(PlatformFixture::make_query(make_request_id(10)));
-  b.run_for(2 * kSecond);
-  for (const auto& answer : open) EXPECT_EQ(answer->status, 200);
-  EXPECT_EQ(further->status, 503);
-  EXPECT_EQ(further->body, R"({"failure":"Full"})");
-  EXPECT_EQ(b.http_server().counters().rejected_at_capacity, 1u);
+  for (int i = 1; i <= 9; ++i) open.push_back(fixture.send(PlatformFixture::make_query(make_request_id(i))));
+  fixture.run_for(100 * kMs);
+  const auto next = fixture.send(PlatformFixture::make_query(make_request_id(10)));
+  fixture.run_for(2 * kSecond);
+  for (const auto& response : open) EXPECT_EQ(response->status, 200);
+  EXPECT_EQ(next->status, 503);
+  EXPECT_EQ(next->body, R"({"failure":"Full"})");
+  EXPECT_EQ(fixture.http_server().counters().rejected_at_capacity, 1u);
 }
 
-// What comes behind an open call has its time from when it came, not from when its turn comes.
-TEST(Platform, AClientsTimeRunsWhileItsCallWaitsBehindAnother) {
-  PlatformFixture b;
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 1'500'000;
-  b.publish_endpoints();
+TEST(HttpServer, PipelinedRequestTimesOutFromItsArrival) {
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 1'500'000;
+  fixture.publish_endpoints();
   const auto second =
-      b.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "report", "9000") +
-                 PlatformFixture::make_query(make_request_id(2), "SELECT 2", "lookup", "1000"),
-             10 * kSecond, 2);
-  b.run_for(4 * kSecond);
+      fixture.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "report", "9000") +
+                       PlatformFixture::make_query(make_request_id(2), "SELECT 2", "lookup", "1000"),
+                   10 * kSecond, 2);
+  fixture.run_for(4 * kSecond);
   EXPECT_EQ(second->status, 503);
-  for (const auto& seen : node.received_requests)
-    EXPECT_NE(http::find(seen.request.fields, "x-ticket"), make_request_id(2));
-  EXPECT_EQ(b.dispatcher().counters().rejected, 1u);
+  for (const auto& received : engine.received_requests)
+    EXPECT_NE(http::find(received.request.fields, "x-ticket"), make_request_id(2));
+  EXPECT_EQ(fixture.dispatcher().counters().rejected, 1u);
 }
 
-// Many calls at once are read as answers make room, and none is lost.
-TEST(Platform, ManyCallsAtOnceOnOneConnectionAreAllAnswered) {
-  PlatformFixture b;
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 1'000;
-  b.publish_endpoints();
+// More bytes than are buffered: reading pauses until responses have been sent.
+TEST(HttpServer, ManyPipelinedRequestsAreAllAnswered) {
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 1'000;
+  fixture.publish_endpoints();
   std::string all;
-  constexpr int kCalls = 60;
-  for (int i = 1; i <= kCalls; ++i)
+  constexpr int kRequests = 60;
+  for (int i = 1; i <= kRequests; ++i)
     all += PlatformFixture::make_query(make_request_id(i), "SELECT '" + std::string(600, 'x') + "'", "report",
                                        "9000");
   ASSERT_GT(all.size(), 32u << 10);
-  const auto last = b.send(all, 10 * kSecond, kCalls);
-  b.run_for(5 * kSecond);
+  const auto last = fixture.send(all, 10 * kSecond, kRequests);
+  fixture.run_for(5 * kSecond);
   EXPECT_EQ(last->status, 200);
-  EXPECT_EQ(b.dispatcher().counters().served, static_cast<uint64_t>(kCalls));
+  EXPECT_EQ(fixture.dispatcher().counters().served, static_cast<uint64_t>(kRequests));
 }
 
-// Closed while at rest, a connection takes nothing more; what has come before that is answered.
-TEST(Platform, WhatComesAfterTheCloseOfARestingConnectionIsNotTaken) {
-  PlatformFixture b;
-  ScriptedEngine& node = b.add_engine();
-  node.execution_time_us = 100'000;
-  b.publish_endpoints();
-  const auto open = b.send(PlatformFixture::make_query(make_request_id(1)));
-  b.run_for(50 * kMs);
-  b.http_server().start_draining();
-  b.http_server().close_idle_connections();
-  b.run_for(kSecond);
+TEST(HttpServer, OpenRequestIsAnsweredBeforeItsConnectionClosesForShutdown) {
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 100'000;
+  fixture.publish_endpoints();
+  const auto open = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(50 * kMs);
+  fixture.http_server().start_draining();
+  fixture.http_server().close_idle_connections();
+  fixture.run_for(kSecond);
   EXPECT_EQ(open->status, 200);
-  EXPECT_TRUE(b.http_server().is_idle());
+  EXPECT_TRUE(fixture.http_server().is_idle());
 }
 
-TEST(Platform, HealthSaysWhenItLeaves) {
-  PlatformFixture b;
+TEST(HttpServer, HealthCheckFailsWhileDraining) {
+  PlatformFixture fixture;
   const std::string health = http::write_request("GET", "/healthz", "h", {});
-  const auto before = b.send(health);
-  b.run_for(100 * kMs);
+  const auto before = fixture.send(health);
+  fixture.run_for(100 * kMs);
   EXPECT_EQ(before->status, 200);
-  b.http_server().start_draining();
-  const auto after = b.send(health);
-  b.run_for(100 * kMs);
+  fixture.http_server().start_draining();
+  const auto after = fixture.send(health);
+  fixture.run_for(100 * kMs);
   EXPECT_EQ(after->status, 503);
   EXPECT_EQ(http::find(after->fields, "connection"), "close");
 }
 
-TEST(Platform, ARefusalTellsWhenToComeBack) {
-  PlatformFixture b;  // no node is known: nothing can be served
-  b.add_engine();
-  b.publish_endpoints();
-  b.streams().unlisten("10.0.0.1:10080");
-  const auto answer = b.send(PlatformFixture::make_query(make_request_id(1)));
-  b.run_for(4 * kSecond);
-  EXPECT_EQ(answer->status, 503);
-  EXPECT_EQ(answer->body, R"({"failure":"Full"})");
+TEST(HttpServer, RequestIsRejectedWhereNoEngineIsReachable) {
+  PlatformFixture fixture;
+  fixture.add_engine();
+  fixture.publish_endpoints();
+  fixture.streams().unlisten("10.0.0.1:10080");
+  const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(4 * kSecond);
+  EXPECT_EQ(response->status, 503);
+  EXPECT_EQ(response->body, R"({"failure":"Full"})");
 }
 
 }  // namespace
--- a/tests/platform/pages_test.cpp
+++ b/tests/platform/pages_test.cpp
@@ -6,7 +6,7 @@
 namespace sablelink::test {
 namespace {
 
-TEST(PlatformPages, RowsOfThreeColumnsAlone) {
+TEST(PlatformPages, RowWithoutThreeColumnsIsMalformed) {
   EXPECT_EQ(platform::page_to_json_rows(""), "");
   EXPECT_EQ(platform::page_to_json_rows("a\t\t\n"), R"(["a","",""])");
   EXPECT_EQ(platform::page_to_json_rows("\xe2\x82\xac\t\x24\t\\\n"), "[\"\xe2\x82\xac\",\"$\",\"\\\\\"]");
@@ -16,7 +16,7 @@
   EXPECT_EQ(platform::page_to_json_rows(std::string(6'001, 'a')), std::nullopt);
 }
 
-TEST(PlatformPages, LoadReportsByName) {
+TEST(PlatformPages, LoadReportIsParsedByName) {
   const auto report = platform::parse_load_report("inflight:7;util:0.61;x0:0.25");
   ASSERT_TRUE(report);
   EXPECT_EQ(report->in_flight, 7);
