--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -29,7 +29,7 @@
 #include "nodes/node_config.h"
 #include "platform/client_request.h"
 #include "platform/config.h"
-#include "platform/endpoints/endpoint_watcher.h"
+#include "platform/endpoints/change_log_reader.h"
 #include "platform/pages.h"
 #include "sql/shape.h"
 #include "sql/statement.h"
@@ -262,7 +262,8 @@
   for (size_t i = 0; also && i < bytes.size(); ++i)
     also = b.feed(bytes.substr(i, 1),
                   [&](const platform::WatchEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
-  check(good == also && whole == pieces && a.last() == b.last(), "events differ by their pieces");
+  check(good == also && whole == pieces && a.last_sequence_number() == b.last_sequence_number(),
+        "events differ by their pieces");
 }
 
 std::vector<Target> targets() {
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -107,14 +107,14 @@
     endpoint_registry_.replace({engine});
     platform::EngineClientOptions engine_options;
     engine_options.budget.engines = 2;
-    engine_options.classes = {"lookup", "report"};
+    engine_options.class_names = {"lookup", "report"};
     engine_client_ =
         std::make_unique<platform::EngineClient>(engine_options, *net_, loop_, endpoint_registry_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
         plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *engine_client_, endpoint_source_, log_);
     engine_client_->set_dispatcher(dispatcher_.get());
     platform::HttpServerOptions server_options;
-    server_options.classes = engine_options.classes;
+    server_options.classes = engine_options.class_names;
     server_options.max_timeout_us = {5 * kSecond, 15 * kSecond};
     server_options.max_connections = connections;
     http_server_ = std::make_unique<platform::HttpServer>(server_options, *dispatcher_, *net_, loop_);
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -198,7 +198,7 @@
     options_.max_connections = max_client_connections;
     platform::EngineClientOptions engine_options;
     engine_options.budget.engines = max_engine_connections;
-    engine_options.classes = options_.classes;
+    engine_options.class_names = options_.classes;
     engine_client_ =
         std::make_unique<platform::EngineClient>(engine_options, dialer_, *actor_, endpoint_registry_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
