--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -12,8 +12,10 @@
 #include "nodes/node_config.h"
 #include "nodes/record_file.h"
 #include "service/gateway_service.h"
+#include "service/json_log.h"
 #include "service/node_service.h"
 #include "service/platform_service.h"
+#include "workload/error.h"
 
 namespace sablelink::cli {
 namespace {
@@ -106,7 +108,7 @@
   service::GatewayService gateway(config, system);
   say_ready();
   signals.wait_for_stop();
-  gateway.stop(config.flight_sql.stop_grace_us);
+  gateway.shut_down(config.flight_sql.stop_grace_us);
   return 0;
 }
 
@@ -118,13 +120,13 @@
   signals.on_reload([&] {
     try {
       gateway.reload(config::parse_gateway_config(read_file(file), file));
-    } catch (const config::ConfigError& e) {
+    } catch (const Error& e) {
       log->error("reload_rejected", {{"error", e.what()}});
     }
   });
   say_ready();
   signals.wait_for_stop();
-  gateway.stop(config.flight_sql.stop_grace_us);
+  gateway.shut_down(config.flight_sql.stop_grace_us);
   return 0;
 }
 
@@ -137,7 +139,7 @@
   say_ready();
   signals.wait_for_stop();
   constexpr TimeUs kNodeGraceUs = 10'000'000;
-  node.stop(kNodeGraceUs);
+  node.shut_down(kNodeGraceUs);
   return 0;
 }
 
@@ -152,11 +154,11 @@
       if (signal == SIGHUP) {
         try {
           gateway.reload(platform::parse_config(read_file(file)));
-        } catch (const std::exception& e) {
+        } catch (const Error& e) {
           std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
         }
       } else {
-        gateway.stop();
+        gateway.start_graceful_shutdown();
       }
       wait();
     });
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 #include "flightsql/messages.h"
 #include "flightsql/terms.h"
 #include "nodes/content.h"
@@ -64,7 +64,7 @@
   bool update = false;
   bool notes_go = false;
   bool ran = false, done = false, cancelled = false;
-  Signal changed;
+  AsyncEvent changed;
   std::vector<wire::ProgressNote> notes;
 };
 
@@ -111,7 +111,8 @@
 
 void StandIn::apply_faults() {
   const TimeUs age = clock_.now() - started_;
-  double slow = 1, memory = 1;
+  double slow = 1;
+  double memory = 1;
   for (const Fault& f : faults_) {
     if (!f.holds_at(age)) continue;
     if (f.kind == FaultKind::kSlow) slow = std::max(slow, f.value);
@@ -171,7 +172,7 @@
     const std::shared_ptr<Job> job = it->second;
     jobs_.erase(it);
     job->done = true;
-    job->changed.give();
+    job->changed.set();
   }
 }
 
@@ -188,7 +189,7 @@
       note.set_kind(node->engine_.waiting(id) ? wire::ProgressNote::WAIT : wire::ProgressNote::PROGRESS);
       note.set_value(node->engine_.waiting(id) ? 1 : node->engine_.progress(id).value_or(0));
       job->notes.assign(1, note);
-      job->changed.give();
+      job->changed.set();
     }
     if (!node->jobs_.empty()) node->schedule_notes();
   });
@@ -219,8 +220,8 @@
     google::protobuf::Any any;
     fsql::CommandStatementQuery command;
     if (struck_by(FaultKind::kHang)) {  // hung: not even this is answered
-      Signal never;
-      call->on_cancelled([&never] { never.give(); });
+      AsyncEvent never;
+      call->on_cancelled([&never] { never.set(); });
       co_await never.wait();
       co_return;
     }
@@ -304,8 +305,8 @@
 
 Awaitable<void> StandIn::execute(CallPtr call, std::string statement, dispatch::ExecutionKind task,
                                  bool prepares) {
-  const bool update = task == dispatch::ExecutionKind::kUpdate,
-             plans = task == dispatch::ExecutionKind::kPlan;
+  const bool update = task == dispatch::ExecutionKind::kUpdate;
+  const bool plans = task == dispatch::ExecutionKind::kPlan;
   const rpc::Metadata& metadata = call->metadata();
   const auto job = std::make_shared<Job>();
   job->id = ++last_job_;
@@ -344,7 +345,7 @@
       jobs_.erase(job->id);
       schedule();
     }
-    job->changed.give();
+    job->changed.set();
   });
 
   NodeEvent::End end = NodeEvent::End::kAnswered;
@@ -389,8 +390,8 @@
     if (engine_.fallen() && !had_fallen) record(*job, NodeEvent::Kind::kFell, end);
     if (job->ran) {
       if (mishap == Mishap::kReset) {  // in the middle of the work
-        const TimeUs half = static_cast<TimeUs>(job->hint.work_us / job->hint.threads / 2);
-        clock_.call_after(half, [job] { job->changed.give(); });
+        const auto half = static_cast<TimeUs>(job->hint.work_us / job->hint.threads / 2);
+        clock_.call_after(half, [job] { job->changed.set(); });
         co_await job->changed.wait();
         run_engine();
         engine_.remove(clock_.now(), job->id);
