--- a/src/platform/endpoints/change_log_reader.cpp
+++ b/src/platform/endpoints/change_log_reader.cpp
@@ -41,14 +41,14 @@
 
 // A heartbeat is the sequence number of the log's last event: a later one than ours has been missed.
 bool ChangeLogReader::read_heartbeat(std::string_view line) const {
-  const long long sequence_number = http::whole_number(line, kMaxSequenceNumber);
+  const long long sequence_number = http::parse_decimal(line, kMaxSequenceNumber);
   return sequence_number >= 0 && static_cast<uint64_t>(sequence_number) <= last_sequence_number_;
 }
 
 bool ChangeLogReader::read_event(std::string_view line, const EventHandler& handler) {
-  ChangeEvent event;
+  WatchEvent event;
   try {
-    event = parse_event(line, names_);
+    event = parse_watch_event(line, names_);
   } catch (const ConfigError&) {
     return false;
   }
@@ -59,9 +59,9 @@
   return true;
 }
 
-void ChangeLogReader::add_known_events(const std::vector<ChangeEvent>& events, uint64_t last_included,
+void ChangeLogReader::add_known_events(const std::vector<WatchEvent>& events, uint64_t last_included,
                                        const EventHandler& handler) {
-  for (const ChangeEvent& event : events) {
+  for (const WatchEvent& event : events) {
     if (event.sequence_number <= last_sequence_number_) continue;
     last_sequence_number_ = event.sequence_number;
     handler(event);
--- a/src/platform/endpoints/change_log_reader.h
+++ b/src/platform/endpoints/change_log_reader.h
@@ -16,7 +16,7 @@
 /// connections. Pure: no I/O.
 class ChangeLogReader {
  public:
-  using EventHandler = std::function<void(const ChangeEvent&)>;
+  using EventHandler = std::function<void(const WatchEvent&)>;
 
   /// `last_sequence_number` is that of the last event that is known already.
   ChangeLogReader(uint64_t last_sequence_number, SettingNames names);
@@ -33,7 +33,7 @@
   bool feed(std::string_view bytes, const EventHandler& handler);
   /// Passes on the new ones of a configuration's events. The configuration includes all events up to
   /// `last_included`.
-  void add_known_events(const std::vector<ChangeEvent>& events, uint64_t last_included,
+  void add_known_events(const std::vector<WatchEvent>& events, uint64_t last_included,
                         const EventHandler& handler);
 
  private:
--- a/src/platform/endpoints/endpoint_set.cpp
+++ b/src/platform/endpoints/endpoint_set.cpp
@@ -2,14 +2,14 @@
 
 namespace sablelink::platform {
 
-bool EndpointSet::apply(const ChangeEvent& event) {
+bool EndpointSet::apply(const WatchEvent& event) {
   if (!event.has_endpoints) return false;
   if (event.is_complete) endpoints_.clear();
-  for (const ChangeEvent::Node& change : event.nodes) {
-    if (change.gone) {
-      endpoints_.erase(change.node.name);
+  for (const WatchEvent::EndpointChange& change : event.endpoints) {
+    if (change.is_removed) {
+      endpoints_.erase(change.endpoint.name);
     } else {
-      endpoints_[change.node.name] = change.node;
+      endpoints_[change.endpoint.name] = change.endpoint;
     }
   }
   return true;
--- a/src/platform/endpoints/endpoint_set.h
+++ b/src/platform/endpoints/endpoint_set.h
@@ -13,7 +13,7 @@
 class EndpointSet {
  public:
   /// True: the event was about endpoints, so that the list may have changed.
-  bool apply(const ChangeEvent& event);
+  bool apply(const WatchEvent& event);
   /// The list, ordered by name.
   std::vector<config::EngineConfig> endpoints() const;
 
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -35,15 +35,15 @@
 }
 
 void EndpointWatcher::switch_address(const PlatformConfig& config) {
-  reader_->add_known_events(config.known, config.known_seq, event_handler());
+  reader_->add_known_events(config.initial_events, config.initial_sequence_number, event_handler());
   notify_if_changed();
   ++connection_generation_;
-  boost::asio::co_spawn(dialer_.executor(), watch(connection_generation_, config.changelog),
+  boost::asio::co_spawn(dialer_.executor(), watch(connection_generation_, config.watch_address),
                         boost::asio::detached);
 }
 
 ChangeLogReader::EventHandler EndpointWatcher::event_handler() {
-  return [this](const ChangeEvent& event) {
+  return [this](const WatchEvent& event) {
     if (endpoints_.apply(event)) notification_pending_ = true;
   };
 }
--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -26,9 +26,9 @@
 constexpr TimeUs kSettleUs = 5'000;
 constexpr size_t kReadBytes = 8 << 10;
 
-http::ReadLimits read_limits() {
-  http::ReadLimits limits;
-  limits.body_bytes = kPageBytes;
+http::MessageLimits read_limits() {
+  http::MessageLimits limits;
+  limits.max_body_bytes = kMaxPageBytes;
   return limits;
 }
 
@@ -281,14 +281,14 @@
     return;
   }
   const bool ended = bytes->empty();
-  const http::ReadState state = ended ? connection->reader.finish() : connection->reader.feed(*bytes);
-  if (state == http::ReadState::kDone) {
+  const http::ParseStatus state = ended ? connection->reader.finish() : connection->reader.feed(*bytes);
+  if (state == http::ParseStatus::kComplete) {
     const bool reusable =
-        !ended && !connection->reader.has_rest() && connection->reader.response().keep_alive;
+        !ended && !connection->reader.has_buffered_bytes() && connection->reader.response().keep_alive;
     on_response_complete(engine, connection, reusable);
     return;
   }
-  if (state == http::ReadState::kMore && !ended) return;
+  if (state == http::ParseStatus::kNeedMore && !ended) return;
   if (!ended) ++counters_.malformed_responses;
   on_connection_lost(engine, connection);
 }
--- a/src/platform/engine_client/engine_protocol.cpp
+++ b/src/platform/engine_client/engine_protocol.cpp
@@ -15,7 +15,7 @@
 
 std::optional<AttemptProgress> parse_progress(const http::Response& response) {
   const std::string_view remark = http::find(response.fields, "x-remark");
-  const std::optional<double> figure = read_figure(http::find(response.fields, "figure"));
+  const std::optional<double> figure = parse_non_negative(http::find(response.fields, "figure"));
   if (!figure) return std::nullopt;
   if (remark == "done") return AttemptProgress{ProgressKind::kProgress, *figure};
   if (remark == "spills") return AttemptProgress{ProgressKind::kSpill, *figure};
@@ -25,14 +25,14 @@
 
 // The figure of a field where it is above 0.
 std::optional<double> parse_positive_figure(const http::Response& response, std::string_view field) {
-  const std::optional<double> figure = read_figure(http::find(response.fields, field));
+  const std::optional<double> figure = parse_non_negative(http::find(response.fields, field));
   if (!figure || *figure <= 0) return std::nullopt;
   return figure;
 }
 
 void parse_complete_response(const http::Response& response, PollResponse& out) {
-  const long long page_count = http::whole_number(http::find(response.fields, "page-count"), kMaxPages);
-  std::optional<std::string> rows = rows_of(response.body);
+  const long long page_count = http::parse_decimal(http::find(response.fields, "page-count"), kMaxPages);
+  std::optional<std::string> rows = page_to_json_rows(response.body);
   if (page_count < 1 || !rows) return;
   out.status = PollResponse::Status::kComplete;
   out.page_count = static_cast<int>(page_count);
@@ -79,7 +79,7 @@
 
 PollResponse parse_poll_response(const http::Response& response) {
   PollResponse out;
-  out.load_report = read_meter(http::find(response.fields, "x-meter"));
+  out.load_report = parse_load_report(http::find(response.fields, "x-meter"));
   const bool load_shed = http::find(response.fields, "x-shed") == "1";
   switch (response.status) {
     case 202:
@@ -105,8 +105,8 @@
 PageResponse parse_page_response(const http::Response& response, int expected_page) {
   if (response.status == 500) return {PageResponse::Status::kFailed, {}};
   if (response.status != 200) return {};
-  if (http::whole_number(http::find(response.fields, "page-no"), kMaxPages) != expected_page) return {};
-  std::optional<std::string> rows = rows_of(response.body);
+  if (http::parse_decimal(http::find(response.fields, "page-no"), kMaxPages) != expected_page) return {};
+  std::optional<std::string> rows = page_to_json_rows(response.body);
   if (!rows) return {};
   return {PageResponse::Status::kPage, std::move(*rows)};
 }
--- a/tests/platform/endpoints/change_log_reader_test.cpp
+++ b/tests/platform/endpoints/change_log_reader_test.cpp
@@ -11,8 +11,8 @@
 namespace sablelink::test {
 namespace {
 
-using platform::ChangeEvent;
 using platform::ChangeLogReader;
+using platform::WatchEvent;
 
 TEST(ChangeLogReader, EventsInAnyPiecesAreAppliedOnceAndInOrder) {
   const std::string text = R"({"seq":4,"fleet":{"whole":false,"hosts":[{"host":"s-1","health":"gone"}]}})"
@@ -28,7 +28,7 @@
     for (size_t at = 0; at < text.size(); at += step)
       in_sequence = in_sequence &&
                     reader.feed(std::string_view(text).substr(at, step),
-                                [&](const ChangeEvent& event) { applied.push_back(event.sequence_number); });
+                                [&](const WatchEvent& event) { applied.push_back(event.sequence_number); });
     EXPECT_TRUE(in_sequence);
     EXPECT_EQ(applied, (std::vector<uint64_t>{4, 5}));
     EXPECT_EQ(reader.last_sequence_number(), 5u);
@@ -36,14 +36,14 @@
   // A missing event, a heartbeat ahead, a malformed line, a line without end: a new connection is needed.
   for (const std::string line : {"{\"seq\":9}\n", "7\n", "{\"seq\":4\n", "x\n", "{\"seq\":\"4\"}\n"}) {
     ChangeLogReader reader(3, {});
-    EXPECT_FALSE(reader.feed(line, [](const ChangeEvent&) { FAIL(); })) << line;
+    EXPECT_FALSE(reader.feed(line, [](const WatchEvent&) { FAIL(); })) << line;
     EXPECT_EQ(reader.last_sequence_number(), 3u);
   }
   ChangeLogReader reader(3, {});
   bool in_sequence = true;
   size_t megabytes = 0;
   for (; in_sequence && megabytes < 100; ++megabytes)
-    in_sequence = reader.feed(std::string(1 << 20, 'x'), [](const ChangeEvent&) {});
+    in_sequence = reader.feed(std::string(1 << 20, 'x'), [](const WatchEvent&) {});
   EXPECT_LT(megabytes, 20u);
 }
 
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -23,7 +23,7 @@
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
-  SimDialer dialer(world, streams, gateway);
+  SimulatedDialer dialer(world, streams, gateway);
   int connections = 0;
   bool sends_partial_lines = true;
   bool sends_event = false;
@@ -57,7 +57,7 @@
   sends_partial_lines = false;
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(endpoints.size(), 2u);
-  config.changelog = "10.2.0.2:8500";  // where nobody listens yet
+  config.watch_address = "10.2.0.2:8500";  // where nobody listens yet
   watcher->switch_address(config);
   sends_event = true;
   world.run_until(world.now() + 2 * kSecond);
@@ -74,7 +74,7 @@
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
-  SimDialer dialer(world, streams, gateway);
+  SimulatedDialer dialer(world, streams, gateway);
   std::vector<std::string> events;
   const auto append_event = [&](int sequence_number) {
     events.push_back(R"({"seq":)" + std::to_string(sequence_number) +
@@ -138,7 +138,7 @@
   EXPECT_GT(connections, connections_before);
   EXPECT_EQ(endpoints.size(), 5u);
   append_event(7);
-  config.changelog = "10.2.0.2:8500";
+  config.watch_address = "10.2.0.2:8500";
   watcher->switch_address(config);
   world.run_until(world.now() + kSecond);
   EXPECT_GE(new_connections, 1);
--- a/tests/platform/engine_client/connection_pool_test.cpp
+++ b/tests/platform/engine_client/connection_pool_test.cpp
@@ -22,20 +22,20 @@
 namespace sablelink::test {
 namespace {
 
-using Answer = PlatformBench::Answer;
+using ClientResponse = PlatformFixture::ClientResponse;
 
 TEST(ConnectionPool, CallWithoutResponseIsRepeatedWellBeforeTheRequestTimesOut) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  engine.pages = {"a\t1\tx\n", "b\t2\ty\n"};
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.result_pages = {"a\t1\tx\n", "b\t2\ty\n"};
   int fetches = 0;
-  engine.script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
+  engine.script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
     if (!received.request.target.ends_with("/1") || ++fetches > 1) return std::nullopt;
-    return NodeReply{"", 0, false, true};
+    return ScriptedResponse{"", 0, false, true};
   };
-  bench.tell();
-  const auto response = bench.start(PlatformBench::statement(id_number(1)));
-  bench.run_for(400 * kMs);
+  fixture.publish_endpoints();
+  const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+  fixture.run_for(400 * kMs);
   EXPECT_EQ(response->status, 200);
   EXPECT_EQ(fetches, 2);
 }
@@ -77,7 +77,7 @@
   dispatch::RequestDispatcher dispatcher(plain_settings(), 7, {}, client_loop, *client, endpoint_source, log);
   client->set_dispatcher(&dispatcher);
   client->on_endpoints_changed();
-  client->start({7, 0}, registry.endpoints()[0].engine, make_spec(id_number(7)));
+  client->start({7, 0}, registry.endpoints()[0].engine, make_spec(make_request_id(7)));
   std::thread engine_thread([&] { engine_loop.run(); });
   // Stalls as soon as the call is sent, until well after it would time out.
   bool has_stalled = false;
@@ -105,87 +105,92 @@
 // A duplicate of a response must not be taken for the response to the next call.
 TEST(ConnectionPool, BytesAfterResponseCloseTheConnection) {
   for (const bool is_delayed : {false, true}) {
-    PlatformBench bench(20, 1);
-    ScriptedNode& engine = bench.add_node();
-    engine.script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
-      if (received.request.method != "POST" || received.connection > 1) return std::nullopt;
+    PlatformFixture fixture(20, 1);
+    ScriptedEngine& engine = fixture.add_engine();
+    engine.script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
+      if (received.request.method != "POST" || received.connection_number > 1) return std::nullopt;
       const std::string interim = "HTTP/1.1 102 Processing\r\n\r\n";
-      const std::string copy = engine.page(0);
-      return NodeReply{interim + copy + (is_delayed ? "" : copy), 0, false, false, is_delayed ? copy : ""};
+      const std::string copy = engine.page_response(0);
+      return ScriptedResponse{interim + copy + (is_delayed ? "" : copy), 0, false, false,
+                              is_delayed ? copy : ""};
     };
-    bench.tell();
-    std::vector<std::shared_ptr<Answer>> responses;
-    for (int i = 1; i <= 2; ++i) responses.push_back(bench.start(PlatformBench::statement(id_number(i))));
-    bench.run_for(kSecond);
+    fixture.publish_endpoints();
+    std::vector<std::shared_ptr<ClientResponse>> responses;
+    for (int i = 1; i <= 2; ++i)
+      responses.push_back(fixture.send(PlatformFixture::make_query(make_request_id(i))));
+    fixture.run_for(kSecond);
     engine.script = nullptr;
     for (const auto& response : responses) EXPECT_EQ(response->status, 200);
-    EXPECT_EQ(engine.count("POST"), 2u);
-    EXPECT_EQ(engine.seen.back().connection, 2);
+    EXPECT_EQ(engine.request_count("POST"), 2u);
+    EXPECT_EQ(engine.received_requests.back().connection_number, 2);
   }
 }
 
 TEST(ConnectionPool, RefusedConnectionsSendAttemptsToAnotherEngine) {
-  PlatformBench bench;
-  ScriptedNode& refusing_engine = bench.add_node();
-  ScriptedNode& accepting_engine = bench.add_node();
-  bench.tell();
-  bench.streams().unlisten(refusing_engine.address());
-  std::vector<std::shared_ptr<Answer>> responses;
-  for (int i = 1; i <= 6; ++i) responses.push_back(bench.start(PlatformBench::statement(id_number(i))));
-  bench.run_for(2 * kSecond);
+  PlatformFixture fixture;
+  ScriptedEngine& refusing_engine = fixture.add_engine();
+  ScriptedEngine& accepting_engine = fixture.add_engine();
+  fixture.publish_endpoints();
+  fixture.streams().unlisten(refusing_engine.address());
+  std::vector<std::shared_ptr<ClientResponse>> responses;
+  for (int i = 1; i <= 6; ++i)
+    responses.push_back(fixture.send(PlatformFixture::make_query(make_request_id(i))));
+  fixture.run_for(2 * kSecond);
   for (const auto& response : responses) EXPECT_EQ(response->status, 200);
-  EXPECT_EQ(accepting_engine.count("POST"), 6u);
+  EXPECT_EQ(accepting_engine.request_count("POST"), 6u);
 }
 
 // An engine at its limit of connections refuses further ones; what it runs goes on.
 TEST(ConnectionPool, RefusedConnectionDoesNotEndRunningAttempts) {
-  PlatformBench bench;
-  ScriptedNode& first_engine = bench.add_node();
-  ScriptedNode& second_engine = bench.add_node();
-  first_engine.work_us = 10 * kSecond;
-  second_engine.work_us = 10 * kSecond;
+  PlatformFixture fixture;
+  ScriptedEngine& first_engine = fixture.add_engine();
+  ScriptedEngine& second_engine = fixture.add_engine();
+  first_engine.execution_time_us = 10 * kSecond;
+  second_engine.execution_time_us = 10 * kSecond;
   first_engine.script = confirm_cancellation_late;
-  bench.tell();
-  bench.nodes().start({7, 0}, bench.id_of(first_engine), make_spec(id_number(7)));
-  bench.run_for(100 * kMs);
-  ASSERT_EQ(first_engine.count("POST"), 1u);
-  bench.streams().unlisten(first_engine.address());
-  bench.nodes().cancel({7, 0});  // its DELETE needs another connection, which is refused
-  bench.nodes().start({7, 1}, bench.id_of(second_engine), make_spec(id_number(7)));
-  bench.run_for(2 * kSecond);
-  ASSERT_NE(first_engine.first("DELETE"), nullptr);
-  ASSERT_NE(second_engine.first("POST"), nullptr);
-  EXPECT_GE(second_engine.first("POST")->at, first_engine.first("DELETE")->at + 100 * kMs);
-  bench.nodes().cancel({7, 1});
-  bench.run_for(kSecond);
+  fixture.publish_endpoints();
+  fixture.engine_client().start({7, 0}, fixture.engine_id(first_engine), make_spec(make_request_id(7)));
+  fixture.run_for(100 * kMs);
+  ASSERT_EQ(first_engine.request_count("POST"), 1u);
+  fixture.streams().unlisten(first_engine.address());
+  fixture.engine_client().cancel({7, 0});  // its DELETE needs another connection, which is refused
+  fixture.engine_client().start({7, 1}, fixture.engine_id(second_engine), make_spec(make_request_id(7)));
+  fixture.run_for(2 * kSecond);
+  ASSERT_NE(first_engine.first_request("DELETE"), nullptr);
+  ASSERT_NE(second_engine.first_request("POST"), nullptr);
+  EXPECT_GE(second_engine.first_request("POST")->received_at,
+            first_engine.first_request("DELETE")->received_at + 100 * kMs);
+  fixture.engine_client().cancel({7, 1});
+  fixture.run_for(kSecond);
 }
 
 // Engines end an attempt that nobody polls for 2 s.
 TEST(ConnectionPool, ManyAttemptsArePolledOverFewConnections) {
-  PlatformBench bench(20, 4);
-  ScriptedNode& engine = bench.add_node();
-  engine.work_us = 60 * kSecond;
-  bench.tell();
+  PlatformFixture fixture(20, 4);
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 60 * kSecond;
+  fixture.publish_endpoints();
   constexpr int kAttempts = 24;
   for (int i = 1; i <= kAttempts; ++i)
-    bench.nodes().start({static_cast<RequestId>(i), 0}, bench.id_of(engine), make_spec(id_number(i)));
-  bench.run_for(12 * kSecond);
-  EXPECT_LE(engine.connections(), 4);
+    fixture.engine_client().start({static_cast<RequestId>(i), 0}, fixture.engine_id(engine),
+                                  make_spec(make_request_id(i)));
+  fixture.run_for(12 * kSecond);
+  EXPECT_LE(engine.connection_count(), 4);
   std::map<std::string, TimeUs> last_call_at;
   TimeUs longest_gap = 0;
-  for (const auto& received : engine.seen) {
+  for (const auto& received : engine.received_requests) {
     const std::string tag = received.request.method == "POST"
                                 ? std::string(http::find(received.request.fields, "x-ticket"))
                                 : received.request.target.substr(6, 16);
     TimeUs& last_at = last_call_at[tag];
-    if (last_at > 0) longest_gap = std::max(longest_gap, received.at - last_at);
-    last_at = received.at;
+    if (last_at > 0) longest_gap = std::max(longest_gap, received.received_at - last_at);
+    last_at = received.received_at;
   }
   EXPECT_EQ(last_call_at.size(), static_cast<size_t>(kAttempts));
   EXPECT_LT(longest_gap, 1900 * kMs);
-  for (int i = 1; i <= kAttempts; ++i) bench.nodes().cancel({static_cast<RequestId>(i), 0});
-  bench.run_for(kSecond);
-  EXPECT_EQ(engine.count("DELETE"), static_cast<size_t>(kAttempts));
+  for (int i = 1; i <= kAttempts; ++i) fixture.engine_client().cancel({static_cast<RequestId>(i), 0});
+  fixture.run_for(kSecond);
+  EXPECT_EQ(engine.request_count("DELETE"), static_cast<size_t>(kAttempts));
 }
 
 }  // namespace
--- a/tests/platform/engine_client/engine_client_harness.h
+++ b/tests/platform/engine_client/engine_client_harness.h
@@ -21,9 +21,10 @@
 }
 
 /// Script of an engine that confirms a cancellation 100 ms after its DELETE and is as usual otherwise.
-inline std::optional<NodeReply> confirm_cancellation_late(const ScriptedNode::Seen& received) {
+inline std::optional<ScriptedResponse> confirm_cancellation_late(
+    const ScriptedEngine::ReceivedRequest& received) {
   if (received.request.method != "DELETE") return std::nullopt;
-  return NodeReply{http::write_response(204, {}, "", true), 100 * kMs};
+  return ScriptedResponse{http::write_response(204, {}, "", true), 100 * kMs};
 }
 
 }  // namespace sablelink::test
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -15,114 +15,116 @@
 namespace sablelink::test {
 namespace {
 
-using Answer = PlatformBench::Answer;
+using ClientResponse = PlatformFixture::ClientResponse;
 
 TEST(EngineClient, ResultOfSeveralPagesIsReturnedComplete) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  engine.pages = {"a\t1\tx\nb\t2\t\n", "c\t\"q\"\tz\\\n"};
-  bench.tell();
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.result_pages = {"a\t1\tx\nb\t2\t\n", "c\t\"q\"\tz\\\n"};
+  fixture.publish_endpoints();
   const std::string text = "SELECT day FROM sales_17.orders WHERE tag = '3f9c'";
-  const auto response = bench.start(PlatformBench::statement(id_number(1), text));
-  bench.run_for(kSecond);
+  const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1), text));
+  fixture.run_for(kSecond);
   EXPECT_EQ(response->status, 200);
   EXPECT_EQ(response->body, R"({"rows":[["a","1","x"],["b","2",""],["c","\"q\"","z\\"]]})");
-  const ScriptedNode::Seen* const post = engine.first("POST");
+  const ScriptedEngine::ReceivedRequest* const post = engine.first_request("POST");
   ASSERT_NE(post, nullptr);
   EXPECT_EQ(post->request.target, "/v2/q");
   EXPECT_EQ(post->request.body, text);
-  EXPECT_EQ(http::find(post->request.fields, "x-ticket"), id_number(1));
+  EXPECT_EQ(http::find(post->request.fields, "x-ticket"), make_request_id(1));
   EXPECT_EQ(http::find(post->request.fields, "x-queue"), "lookup");
-  EXPECT_LE(http::whole_number(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
-  EXPECT_EQ(engine.count("POST"), 1u);
-  EXPECT_EQ(bench.nodes().active_attempts(), 0u);
-  EXPECT_EQ(bench.dispatcher().tracked_requests(), 0u);
+  EXPECT_LE(http::parse_decimal(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
+  EXPECT_EQ(engine.request_count("POST"), 1u);
+  EXPECT_EQ(fixture.engine_client().active_attempts(), 0u);
+  EXPECT_EQ(fixture.dispatcher().tracked_requests(), 0u);
 }
 
 // Engines drop duplicates by the idempotency key and reject a request that comes without it.
 TEST(EngineClient, IdempotencyAndOrderingKeysAreForwarded) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  bench.tell();
-  const auto response = bench.start(PlatformBench::statement(id_number(1), "SELECT 1", "lookup", "2000",
-                                                             {{"Idempotency-Key", "fc9a5e3c"},
-                                                              {"X-Object", "t-7"},
-                                                              {"X-Tenant", "south"},
-                                                              {"X-Cost-Ms", "149.9"},
-                                                              {"X-Est-Mb", "722"}}));
-  const auto unknown_tenant = bench.start(
-      PlatformBench::statement(id_number(2), "SELECT 1", "lookup", "2000", {{"X-Tenant", "nobody"}}));
-  const auto invalid_key = bench.start(
-      PlatformBench::statement(id_number(3), "SELECT 1", "lookup", "2000", {{"X-Object", "two words"}}));
-  bench.run_for(kSecond);
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  fixture.publish_endpoints();
+  const auto response =
+      fixture.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "lookup", "2000",
+                                               {{"Idempotency-Key", "fc9a5e3c"},
+                                                {"X-Object", "t-7"},
+                                                {"X-Tenant", "south"},
+                                                {"X-Cost-Ms", "149.9"},
+                                                {"X-Est-Mb", "722"}}));
+  const auto unknown_tenant = fixture.send(PlatformFixture::make_query(
+      make_request_id(2), "SELECT 1", "lookup", "2000", {{"X-Tenant", "nobody"}}));
+  const auto invalid_key = fixture.send(PlatformFixture::make_query(make_request_id(3), "SELECT 1", "lookup",
+                                                                    "2000", {{"X-Object", "two words"}}));
+  fixture.run_for(kSecond);
   EXPECT_EQ(response->status, 200);
   EXPECT_EQ(unknown_tenant->status, 400);
   EXPECT_EQ(invalid_key->status, 400);
-  ASSERT_EQ(engine.count("POST"), 1u);
-  EXPECT_EQ(http::find(engine.first("POST")->request.fields, "x-nonce"), "fc9a5e3c");
-  EXPECT_EQ(http::find(engine.first("POST")->request.fields, "x-ref"), "t-7");
+  ASSERT_EQ(engine.request_count("POST"), 1u);
+  EXPECT_EQ(http::find(engine.first_request("POST")->request.fields, "x-nonce"), "fc9a5e3c");
+  EXPECT_EQ(http::find(engine.first_request("POST")->request.fields, "x-ref"), "t-7");
 }
 
 TEST(EngineClient, LongQueryIsPolledUntilItCompletes) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  engine.work_us = 900'000;
-  bench.tell();
-  const auto response = bench.start(PlatformBench::statement(id_number(1), "SELECT 1", "report", "9000"));
-  bench.run_for(2 * kSecond);
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 900'000;
+  fixture.publish_endpoints();
+  const auto response =
+      fixture.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "report", "9000"));
+  fixture.run_for(2 * kSecond);
   EXPECT_EQ(response->status, 200);
-  EXPECT_EQ(engine.count("POST"), 1u);
-  EXPECT_GE(engine.count("GET"), 3u);
+  EXPECT_EQ(engine.request_count("POST"), 1u);
+  EXPECT_GE(engine.request_count("GET"), 3u);
 }
 
 // An attempt is not bound to a connection: an interrupted call is repeated on another one.
 TEST(EngineClient, DisconnectDuringStartOrResponseCausesNoSecondStart) {
   for (const bool during_start : {true, false}) {
-    PlatformBench bench;
-    ScriptedNode& engine = bench.add_node();
-    engine.work_us = 400'000;
+    PlatformFixture fixture;
+    ScriptedEngine& engine = fixture.add_engine();
+    engine.execution_time_us = 400'000;
     int disconnects = 0;
-    engine.script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
+    engine.script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       const bool is_affected =
           during_start ? received.request.method == "POST" : received.request.target.ends_with("/0");
       if (!is_affected || ++disconnects > 2) return std::nullopt;
       if (during_start) {
         return std::nullopt;  // started; the connection is reset before the response, below
       }
-      return NodeReply{"HTTP/1.1 20", 0, true, false};
+      return ScriptedResponse{"HTTP/1.1 20", 0, true, false};
     };
-    bench.tell();
-    const auto response = bench.start(PlatformBench::statement(id_number(1)));
-    bench.run_for(50 * kMs);
-    if (during_start) bench.streams().reset(engine.address());
-    bench.run_for(3 * kSecond);
+    fixture.publish_endpoints();
+    const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+    fixture.run_for(50 * kMs);
+    if (during_start) fixture.streams().reset(engine.address());
+    fixture.run_for(3 * kSecond);
     EXPECT_EQ(response->status, 200) << during_start;
-    EXPECT_EQ(engine.count("POST"), 1u) << during_start;
+    EXPECT_EQ(engine.request_count("POST"), 1u) << during_start;
   }
 }
 
 // The start never reached the engine. The engine responds to the poll, so it is not an outlier.
 TEST(EngineClient, ResetStartsAreRetriedAndEjectNoEngine) {
-  PlatformBench bench;
-  std::vector<ScriptedNode*> engines;
-  for (int i = 0; i < 3; ++i) engines.push_back(&bench.add_node());
+  PlatformFixture fixture;
+  std::vector<ScriptedEngine*> engines;
+  for (int i = 0; i < 3; ++i) engines.push_back(&fixture.add_engine());
   std::map<std::string, int> starts_by_tag;
-  for (ScriptedNode* engine : engines)
-    engine->script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
+  for (ScriptedEngine* engine : engines)
+    engine->script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (received.request.method != "POST") return std::nullopt;
       if (starts_by_tag[std::string(http::find(received.request.fields, "x-ticket"))]++ > 0)
         return std::nullopt;
-      return NodeReply{"", 0, true, false, "", true};  // as if the engine had not read it
+      return ScriptedResponse{"", 0, true, false, "", true};  // as if the engine had not read it
     };
-  bench.tell();
-  std::vector<std::shared_ptr<Answer>> responses;
+  fixture.publish_endpoints();
+  std::vector<std::shared_ptr<ClientResponse>> responses;
   for (int i = 1; i <= 40; ++i) {
-    responses.push_back(bench.start(PlatformBench::statement(id_number(i))));
-    bench.run_for(50 * kMs);
+    responses.push_back(fixture.send(PlatformFixture::make_query(make_request_id(i))));
+    fixture.run_for(50 * kMs);
   }
-  bench.run_for(kSecond);
+  fixture.run_for(kSecond);
   for (const auto& response : responses) EXPECT_EQ(response->status, 200);
-  EXPECT_EQ(bench.log().count("decision"), 0u);
+  EXPECT_EQ(fixture.log().count("decision"), 0u);
 }
 
 TEST(EngineClient, MalformedPagesAreFetchedAgain) {
@@ -137,19 +139,19 @@
       http::write_response(404, {}, "", true),
   };
   for (const std::string& bytes : malformed_responses) {
-    PlatformBench bench;
-    ScriptedNode& engine = bench.add_node();
-    engine.pages = {"a\t1\tx\n", "b\t2\ty\n"};
+    PlatformFixture fixture;
+    ScriptedEngine& engine = fixture.add_engine();
+    engine.result_pages = {"a\t1\tx\n", "b\t2\ty\n"};
     int fetches = 0;
-    engine.script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
+    engine.script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (!received.request.target.ends_with("/1") || ++fetches > 1) return std::nullopt;
-      return NodeReply{bytes, 0, false, false};
+      return ScriptedResponse{bytes, 0, false, false};
     };
-    bench.tell();
-    const auto response = bench.start(PlatformBench::statement(id_number(1)));
-    bench.run_for(2 * kSecond);
+    fixture.publish_endpoints();
+    const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+    fixture.run_for(2 * kSecond);
     EXPECT_EQ(response->body, R"({"rows":[["a","1","x"],["b","2","y"]]})") << bytes.substr(0, 60);
-    EXPECT_EQ(engine.count("POST"), 1u);
+    EXPECT_EQ(engine.request_count("POST"), 1u);
   }
 }
 
@@ -161,21 +163,22 @@
   };
   for (const Case& test_case :
        {Case{503, {{"X-Shed", "1"}}, 2}, Case{500, {}, 2}, Case{504, {{"X-Shed", "1"}}, 2}}) {
-    PlatformBench bench;
-    ScriptedNode& engine = bench.add_node();
-    ScriptedNode& other_engine = bench.add_node();
+    PlatformFixture fixture;
+    ScriptedEngine& engine = fixture.add_engine();
+    ScriptedEngine& other_engine = fixture.add_engine();
     int starts = 0;
-    const auto script = [&](const ScriptedNode::Seen& received) -> std::optional<NodeReply> {
+    const auto script =
+        [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (received.request.method != "POST" || ++starts > 1) return std::nullopt;
-      return NodeReply{http::write_response(test_case.status, test_case.fields, "", true)};
+      return ScriptedResponse{http::write_response(test_case.status, test_case.fields, "", true)};
     };
     engine.script = script;
     other_engine.script = script;
-    bench.tell();
-    const auto response = bench.start(PlatformBench::statement(id_number(1)));
-    bench.run_for(2 * kSecond);
+    fixture.publish_endpoints();
+    const auto response = fixture.send(PlatformFixture::make_query(make_request_id(1)));
+    fixture.run_for(2 * kSecond);
     EXPECT_EQ(response->status, 200) << test_case.status;
-    EXPECT_EQ(engine.count("POST") + other_engine.count("POST"),
+    EXPECT_EQ(engine.request_count("POST") + other_engine.request_count("POST"),
               static_cast<size_t>(test_case.expected_starts))
         << test_case.status;
   }
@@ -183,30 +186,30 @@
 
 // Whether a decision still holds is checked right before the first byte is sent.
 TEST(EngineClient, SupersededStartIsNotSent) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  bench.tell();
-  dispatch::AttemptSpec superseded = make_spec(id_number(7));
-  dispatch::AttemptSpec valid = make_spec(id_number(8));
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  fixture.publish_endpoints();
+  dispatch::AttemptSpec superseded = make_spec(make_request_id(7));
+  dispatch::AttemptSpec valid = make_spec(make_request_id(8));
   superseded.still_valid = [] { return false; };
   valid.still_valid = [] { return true; };
-  bench.nodes().start({7, 0}, bench.id_of(engine), superseded);
-  bench.nodes().start({8, 0}, bench.id_of(engine), valid);
-  bench.run_for(kSecond);
-  EXPECT_EQ(engine.count("POST"), 1u);
-  EXPECT_EQ(bench.nodes().active_attempts(), 0u);
+  fixture.engine_client().start({7, 0}, fixture.engine_id(engine), superseded);
+  fixture.engine_client().start({8, 0}, fixture.engine_id(engine), valid);
+  fixture.run_for(kSecond);
+  EXPECT_EQ(engine.request_count("POST"), 1u);
+  EXPECT_EQ(fixture.engine_client().active_attempts(), 0u);
 }
 
 TEST(EngineClient, ClientDisconnectCancelsItsAttempt) {
-  PlatformBench bench;
-  ScriptedNode& engine = bench.add_node();
-  engine.work_us = 3 * kSecond;
-  bench.tell();
-  bench.start(PlatformBench::statement(id_number(1), "SELECT 1", "report", "9000"), 700 * kMs);
-  bench.run_for(2 * kSecond);
-  EXPECT_EQ(engine.count("DELETE"), 1u);
-  EXPECT_EQ(bench.dispatcher().tracked_requests(), 0u);
-  EXPECT_EQ(bench.front().connections(), 0u);
+  PlatformFixture fixture;
+  ScriptedEngine& engine = fixture.add_engine();
+  engine.execution_time_us = 3 * kSecond;
+  fixture.publish_endpoints();
+  fixture.send(PlatformFixture::make_query(make_request_id(1), "SELECT 1", "report", "9000"), 700 * kMs);
+  fixture.run_for(2 * kSecond);
+  EXPECT_EQ(engine.request_count("DELETE"), 1u);
+  EXPECT_EQ(fixture.dispatcher().tracked_requests(), 0u);
+  EXPECT_EQ(fixture.http_server().connection_count(), 0u);
 }
 
 }  // namespace
