--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -36,13 +36,13 @@
                      const std::string partial_line = " ";
                      const bool sent = co_await rpc::write_all(*stream, partial_line);
                      if (!sent) co_return;
-                     co_await pause(*server, 500 * kMs);
+                     co_await sleep_for(*server, 500 * kMs);
                    }
                    for (int i = 0; i < 20; ++i) {
                      const std::string line = sends_event ? event : "3\n";
                      const bool sent = co_await rpc::write_all(*stream, line);
                      if (!sent) co_return;
-                     co_await pause(*server, 500 * kMs);
+                     co_await sleep_for(*server, 500 * kMs);
                    }
                  });
   NullLog log;
@@ -100,9 +100,9 @@
     if (behaviour == Behaviour::kCutOffEvent) co_return;
     for (int heartbeats = 0; behaviour != Behaviour::kSilent && heartbeats < 30; ++heartbeats) {
       co_await rpc::write_all(*stream, std::to_string(3 + events.size()) + "\n");
-      co_await pause(*server, kSecond);
+      co_await sleep_for(*server, kSecond);
     }
-    co_await pause(*server, 60 * kSecond);
+    co_await sleep_for(*server, 60 * kSecond);
   };
   streams.listen("10.2.0.1:8500", server, serve);
   streams.listen("10.2.0.2:8500", server, [&](auto stream) -> rpc::Awaitable<void> {
--- a/tests/platform/engine_client/connection_pool_test.cpp
+++ b/tests/platform/engine_client/connection_pool_test.cpp
@@ -58,7 +58,7 @@
           const std::optional<std::string> bytes = co_await stream->read(4096);
           if (!bytes || bytes->empty()) co_return;
           ++calls;
-          co_await pause(engine_loop, 100 * kMs);
+          co_await sleep_for(engine_loop, 100 * kMs);
           const std::string response = http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true);
           co_await rpc::write_all(*stream, response);
         }
