--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -51,7 +51,7 @@
       log_(make_json_log("gateway", "info")),
       loop_(system.wall, system.steady),
       network_(std::make_unique<rpc::TcpNet>(loop_)) {
-  const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.max_descriptors);
+  const platform::DescriptorBudget budget = platform::DescriptorBudget::from_limit(config_.max_descriptors);
   endpoint_source_ = std::make_unique<RegistryEndpointSource>(
       endpoint_registry_,
       [this](std::function<void()> callback) { loop_.call_after(0, std::move(callback)); });
@@ -117,7 +117,7 @@
   if (std::exchange(is_shutting_down_, true)) return;
   log_->info("shutdown_started", {{"open_requests", std::to_string(dispatcher_->open_requests())}});
   http_server_->start_draining();
-  const auto schedule = platform::ShutdownSchedule::of(config_.settings);
+  const auto schedule = platform::ShutdownSchedule::from_settings(config_.settings);
   exit_at_ = loop_.now() + schedule.exit;
   loop_.call_after(schedule.stop_accepting, [this] { stop_accepting(); });
   loop_.call_after(schedule.cancel_in_flight, [this] { dispatcher_->cancel_in_flight(); });
