--- a/src/platform/engine_client/connection_pool.h
+++ b/src/platform/engine_client/connection_pool.h
@@ -29,8 +29,8 @@
 struct ConnectionPoolOptions {
   DescriptorBudget budget;
   TimeUs dial_timeout_us = 0;
-  TimeUs engine_idle_timeout_us =
-      0;  // after which engines close idle connections; they are closed well before
+  /// After which engines close idle connections. The pool closes them well before.
+  TimeUs engine_idle_timeout_us = 0;
 };
 
 /// A few connections to each engine, with one call at a time on each. Calls that find no connection wait in
@@ -66,14 +66,16 @@
   /// Removes the attempt and its queued calls, except for its cancellation.
   void remove_attempt(const std::shared_ptr<EngineAttempt>& attempt);
 
-  /// Queues a call, behind those of its type or before them. Nothing is sent from within this.
+  /// Queues a call behind those of its type. Nothing is sent from within this.
   void enqueue(EngineCall call);
+  /// As enqueue(), before those of its type.
   void enqueue_first(EngineCall call);
   /// Sends the engine's queued calls soon, but not from within this.
   void schedule_dispatch(EngineId engine);
 
   /// Ends calls without a response in time and connections that were idle for too long.
   void expire();
+  /// Closes the engine's connections without a call.
   void close_idle_connections(EngineId engine);
 
   /// Open connections and dials in progress.
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -1,6 +1,5 @@
 #include "platform/engine_client/engine_client.h"
 
-#include <algorithm>
 #include <utility>
 
 #include "platform/engine_client/engine_protocol.h"
@@ -39,7 +38,7 @@
     ++counters_.attempts_delayed;
     return;
   }
-  enqueue_start(attempt);
+  schedule_call(CallType::kStart, attempt);
 }
 
 void EngineClient::cancel(dispatch::AttemptId id) {
@@ -50,9 +49,9 @@
   if (attempt->was_sent()) orphan(attempt);
 }
 
-void EngineClient::check_health(uint32_t check_id, EngineId) {
-  clock_.call_after(0, [self = weak_factory_.get_weak_ptr(), check_id] {
-    if (self) self->dispatcher_->on_health_check_completed(check_id, Outcome::kConnectFailed, std::nullopt);
+void EngineClient::check_health(dispatch::HealthCheckId check, EngineId) {
+  clock_.call_after(0, [self = weak_factory_.get_weak_ptr(), check] {
+    if (self) self->dispatcher_->on_health_check_completed(check, Outcome::kConnectFailed, std::nullopt);
   });
 }
 
@@ -62,7 +61,7 @@
   dispatcher_->on_attempt_completed(attempt->id(), attempt->result(outcome));
 }
 
-// Nothing more of the attempt is reported to the dispatcher.
+// Afterwards nothing of the attempt is reported to the dispatcher.
 void EngineClient::forget(const AttemptPtr& attempt) {
   attempt->finish();
   attempts_.erase({attempt->id().request, attempt->id().number});
@@ -74,27 +73,22 @@
   orphans_.add(attempt);
   const TimeUs delay = attempt->earliest_cancel_at() - clock_.now();
   if (delay <= 0) {
-    enqueue_cancel(attempt);
+    schedule_call(CallType::kCancel, attempt);
     return;
   }
   clock_.call_after(delay, [self = weak_factory_.get_weak_ptr(), attempt] {
-    if (self) self->enqueue_cancel(attempt);
+    if (self) self->schedule_call(CallType::kCancel, attempt);
   });
 }
 
 void EngineClient::on_orphan_ended(const AttemptPtr& attempt) {
-  for (const AttemptPtr& released : orphans_.on_confirmed(attempt)) enqueue_start(released);
+  for (const AttemptPtr& released : orphans_.on_confirmed(attempt)) schedule_call(CallType::kStart, released);
 }
 
 // ---- Calls ---------------------------------------------------------------------------------------------
 
-void EngineClient::enqueue_start(const AttemptPtr& attempt) {
-  pool_.enqueue({CallType::kStart, attempt});
-  pool_.schedule_dispatch(attempt->engine());
-}
-
-void EngineClient::enqueue_cancel(const AttemptPtr& attempt) {
-  pool_.enqueue({CallType::kCancel, attempt});
+void EngineClient::schedule_call(CallType type, const AttemptPtr& attempt) {
+  pool_.enqueue({type, attempt});
   pool_.schedule_dispatch(attempt->engine());
 }
 
@@ -182,7 +176,11 @@
       complete(call.attempt, Outcome::kConnectFailed);
       return;
     case CallFailure::kInterrupted:
-      retry(std::move(call));
+      if (call.type == CallType::kCancel) {
+        retry_cancel(std::move(call));
+      } else {
+        retry(std::move(call));
+      }
       return;
     case CallFailure::kEngineDown:
       if (call.type == CallType::kCancel) {
@@ -195,10 +193,6 @@
 }
 
 void EngineClient::retry(EngineCall call) {
-  if (call.type == CallType::kCancel) {
-    retry_cancel(std::move(call));
-    return;
-  }
   const AttemptPtr attempt = call.attempt;
   if (attempt->is_finished()) return;
   if (call.type == CallType::kStart) {
@@ -235,7 +229,7 @@
     if (attempt->was_sent() && now > attempt->abandoned_at()) abandoned.push_back(attempt);
   }
   for (const AttemptPtr& attempt : abandoned) complete(attempt, Outcome::kReset);
-  for (const AttemptPtr& released : orphans_.expire(now)) enqueue_start(released);
+  for (const AttemptPtr& released : orphans_.expire(now)) schedule_call(CallType::kStart, released);
   clock_.call_after(ConnectionPool::kExpiryIntervalUs, [self = weak_factory_.get_weak_ptr()] {
     if (self) self->expire();
   });
--- a/src/platform/engine_client/engine_client.h
+++ b/src/platform/engine_client/engine_client.h
@@ -2,7 +2,6 @@
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
@@ -55,10 +54,10 @@
 
   void start(dispatch::AttemptId id, EngineId engine, const dispatch::AttemptSpec& spec) override;
   void cancel(dispatch::AttemptId id) override;
-  /// Nothing to do: a result is passed on whole, in one message.
+  /// Does nothing: a result is forwarded complete, in one message.
   void resume(dispatch::AttemptId) override {}
-  /// Fails always: the platform's protocol has no health check.
-  void check_health(uint32_t check_id, EngineId engine) override;
+  /// Always reports Outcome::kConnectFailed: the platform's protocol has no health check.
+  void check_health(dispatch::HealthCheckId check, EngineId engine) override;
   void close_idle_connections(EngineId engine) override { pool_.close_idle_connections(engine); }
 
   const EngineClientCounters& counters() const { return counters_; }
@@ -74,8 +73,7 @@
   void on_response(EngineCall call, const http::Response& response) override;
   void on_call_failed(EngineCall call, CallFailure failure) override;
 
-  void enqueue_start(const AttemptPtr& attempt);
-  void enqueue_cancel(const AttemptPtr& attempt);
+  void schedule_call(CallType type, const AttemptPtr& attempt);
   void apply_step(EngineCall call, const AttemptStep& step);
   void retry(EngineCall call);
   void retry_cancel(EngineCall call);
