--- a/src/badday/process.cpp
+++ b/src/badday/process.cpp
@@ -9,11 +9,7 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <chrono>
-<<<<<<< HEAD
-=======
 #include <csignal>
-#include <stdexcept>
->>>>>>> main
 #include <thread>
 
 namespace sablelink::badday {
