--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -278,7 +278,7 @@
     const Traffic& t = script_.traffic[p.traffic];
     for (int turn = 0; turn < t.tries; ++turn) {
       ClientRecord r;
-      r.cls = script_.gateway.class_named(t.cls);
+      r.cls = script_.gateway.class_index(t.cls);
       r.tag = "q" + std::to_string(p.number) + "-" + std::to_string(turn);
       r.gateway = "g" + std::to_string(p.gateway);
       r.key = p.key;
--- a/src/badday/script.cpp
+++ b/src/badday/script.cpp
@@ -9,38 +9,38 @@
 
 Traffic read_traffic(Section& s, const config::GatewayConfig& gateway) {
   Traffic t;
-  t.cls = s.text("class");
+  t.cls = s.string("class");
   const auto& names = gateway.class_names;
   if (std::find(names.begin(), names.end(), t.cls) == names.end())
     s.fail("class", "'" + t.cls + "' isn't configured");
   t.share = s.number("share", 0, 1);
-  t.work_us = static_cast<double>(s.time("work"));
+  t.work_us = static_cast<double>(s.duration("work"));
   t.spread = s.number("spread", 0, 3, t.spread);
   t.threads = s.number("threads", 0.1, 100, 1);
   t.memory_mb = s.number("memory_mb", 0, 1e6, t.memory_mb);
   t.rows = s.integer("rows", 0, 10'000'000, t.rows);
-  t.update = s.flag("update", false);
+  t.update = s.boolean("update", false);
   t.keys = static_cast<int>(s.integer("keys", 0, 1'000'000, 0));
   t.leaves = s.number("leaves", 0, 1, 0);
   t.tries = static_cast<int>(s.integer("tries", 1, 10, 1));
-  s.finish();
+  s.reject_unknown_keys();
   return t;
 }
 
 Event read_event(Section& s, const Script& script) {
   using Kind = Event::Kind;
   Event e;
-  e.kind = s.word<Kind>("kind",
-                        {{"deploy", Kind::kDeploy},
-                         {"kill_node", Kind::kKillNode},
-                         {"kill_gateway", Kind::kKillGateway},
-                         {"burst", Kind::kBurst},
-                         {"fault", Kind::kFault}},
-                        std::nullopt);
-  e.at = s.time("at");
-  if (e.kind != Kind::kDeploy) e.for_us = s.time("for");
+  e.kind = s.one_of<Kind>("kind",
+                          {{"deploy", Kind::kDeploy},
+                           {"kill_node", Kind::kKillNode},
+                           {"kill_gateway", Kind::kKillGateway},
+                           {"burst", Kind::kBurst},
+                           {"fault", Kind::kFault}},
+                          std::nullopt);
+  e.at = s.duration("at");
+  if (e.kind != Kind::kDeploy) e.for_us = s.duration("for");
   if (e.kind == Kind::kDeploy || e.kind == Kind::kKillNode || e.kind == Kind::kFault) {
-    for (const std::string& number : s.texts("nodes")) {
+    for (const std::string& number : s.strings("nodes")) {
       const int n = std::atoi(number.c_str());
       if (n < 0 || n >= script.nodes) s.fail("nodes", "there is no node '" + number + "'");
       e.nodes.push_back(n);
@@ -51,13 +51,13 @@
     e.gateway = static_cast<int>(s.integer("gateway", 0, script.gateways - 1));
   if (e.kind == Kind::kDeploy) {
     e.batch = static_cast<int>(s.integer("batch", 1, 100, 1));
-    e.drain_us = s.time("drain", 1'000'000);
+    e.drain_us = s.duration("drain", 1'000'000);
   }
   if (e.kind == Kind::kBurst || e.kind == Kind::kFault) e.value = s.number("value", 0, 1000, 1);
   if (e.kind == Kind::kFault) {
-    e.fault = s.word<nodes::FaultKind>("fault", nodes::fault_words(), std::nullopt);
+    e.fault = s.one_of<nodes::FaultKind>("fault", nodes::fault_words(), std::nullopt);
   }
-  s.finish();
+  s.reject_unknown_keys();
   return e;
 }
 
@@ -74,15 +74,15 @@
   Section root = Section::parse(text, file);
   Script out;
   Section day = root.table("day");
-  out.length_us = day.time("length", out.length_us);
+  out.length_us = day.duration("length", out.length_us);
   out.gateways = static_cast<int>(day.integer("gateways", 1, 100, out.gateways));
   out.nodes = static_cast<int>(day.integer("nodes", 1, 1000, out.nodes));
   out.zones = static_cast<int>(day.integer("zones", 1, 100, 1));
   out.rate = day.number("rate", 0.1, 1e6, out.rate);
   out.seed = day.integer("seed", 0, INT64_MAX, 1);
-  day.finish();
-  out.gateway_template = root.text("gateway_config");
-  out.node_template = root.text("node_config");
+  day.reject_unknown_keys();
+  out.gateway_template = root.string("gateway_config");
+  out.node_template = root.string("node_config");
   out.gateway = config::parse_gateway_config(out.gateway_template, file + " (gateway_config)");
   out.node = nodes::parse_node_config("[node]\nname = \"n\"\nlisten = \"l:0\"\n" + out.node_template,
                                       file + " (node_config)");
@@ -95,7 +95,7 @@
   for (Section& s : root.tables("event")) out.events.push_back(read_event(s, out));
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const Event& a, const Event& b) { return a.at < b.at; });
-  root.finish();
+  root.reject_unknown_keys();
   return out;
 }
 
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -91,7 +91,7 @@
   Signals signals;
   config::GatewayConfig config = config::parse_gateway_config(kUpConfig, "embedded");
   config.name = "up";
-  config.listen = options.listen;
+  config.listen_address = options.listen;
   config.log_level = "warn";
   std::vector<std::unique_ptr<service::NodeService>> nodes;
   for (int i = 0; i < options.nodes; ++i) {
@@ -107,7 +107,7 @@
   service::GatewayService gateway(config, system);
   say_ready();
   signals.wait_for_stop();
-  gateway.stop(config.flight_sql.stop_grace_us);
+  gateway.stop(config.flight_sql.shutdown_grace_us);
   return 0;
 }
 
@@ -125,7 +125,7 @@
   });
   say_ready();
   signals.wait_for_stop();
-  gateway.stop(config.flight_sql.stop_grace_us);
+  gateway.stop(config.flight_sql.shutdown_grace_us);
   return 0;
 }
 
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -1,245 +1,334 @@
 #include "config/gateway_config.h"
 
 #include <algorithm>
+#include <optional>
 #include <set>
+#include <utility>
 
 namespace sablelink::config {
 namespace {
 
-constexpr double kMost = 1e12;
+constexpr double kMaxNumber = 1e12;
+constexpr int kMaxCell = 65535;
+constexpr int64_t kMaxTableGroup = int64_t{1} << 53;
+constexpr double kBytesPerMb = 1 << 20;
+constexpr size_t kMinMessageBytes = 4096;
+constexpr size_t kMaxMessageBytes = size_t{1} << 30;
 
-int index_of(Section& s, std::string_view key, const std::vector<std::string>& names,
+// ---- Names of classes, zones and so on, which other keys refer to
+// ---------------------------------------------------
+
+int index_of(const Section& section, std::string_view key, const std::vector<std::string>& names,
              const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
-  if (it == names.end()) s.fail(key, "'" + name + "' isn't configured");
+  if (it == names.end()) section.fail(key, "'" + name + "' isn't configured");
   return static_cast<int>(it - names.begin());
 }
 
-// The index of the name that a key holds; the first where the key is missing.
-int named(Section& s, std::string_view key, const std::vector<std::string>& names) {
-  return s.has(key) ? index_of(s, key, names, s.text(key)) : 0;
+// The index of the name at the key; 0 where the key is missing.
+int read_index(Section& section, std::string_view key, const std::vector<std::string>& names) {
+  return section.has(key) ? index_of(section, key, names, section.string(key)) : 0;
 }
 
-std::vector<int> several(Section& s, std::string_view key, const std::vector<std::string>& names) {
-  std::vector<int> found;
-  for (const std::string& name : s.texts(key)) found.push_back(index_of(s, key, names, name));
-  return found;
+std::vector<int> read_indexes(Section& section, std::string_view key, const std::vector<std::string>& names) {
+  std::vector<int> indexes;
+  for (const std::string& name : section.strings(key)) {
+    indexes.push_back(index_of(section, key, names, name));
+  }
+  return indexes;
 }
 
-std::string new_name(Section& s, std::vector<std::string>& names) {
-  std::string name = s.text("name");
-  if (name.empty()) s.fail("name", "is empty");
-  if (std::find(names.begin(), names.end(), name) != names.end())
-    s.fail("name", "'" + name + "' stands twice");
+// Reads the name of a new item and appends it to those of the items before.
+std::string read_unique_name(Section& section, std::vector<std::string>& names) {
+  std::string name = section.string("name");
+  if (name.empty()) section.fail("name", "is empty");
+  if (std::find(names.begin(), names.end(), name) != names.end()) {
+    section.fail("name", "'" + name + "' is used more than once");
+  }
   names.push_back(name);
   return name;
 }
 
-void read_gateway(Section s, GatewayConfig& c) {
-  c.name = s.text("name", "gateway");
-  c.listen = s.text("listen", "127.0.0.1:31337");
-  c.settings.gateway_count = static_cast<int>(s.integer("instances", 1, 100'000, 1));
-  c.settings.gateway_index = static_cast<int>(s.integer("index", 0, c.settings.gateway_count - 1, 0));
-  c.settings.zone = named(s, "zone", c.zone_names);
-  c.settings.tick_us = s.time("tick", 1000);
-  c.log_level = s.word<std::string>(
+// ---- Tables, in the order in which they are read
+// -----------------------------------------------------------------
+
+void read_zones(Section& root, GatewayConfig& config) {
+  for (Section& zone : root.tables("zone")) {
+    read_unique_name(zone, config.zone_names);
+    zone.reject_unknown_keys();
+  }
+}
+
+void read_engine_types(Section& root, GatewayConfig& config) {
+  for (Section& type : root.tables("kind")) {
+    read_unique_name(type, config.engine_type_names);
+    config.settings.engine_type_cores.push_back(type.number("cores", 0, 100'000, 0));
+    const auto memory_bytes = static_cast<double>(type.byte_size("memory", 0));
+    config.settings.engine_type_memory_mb.push_back(memory_bytes / kBytesPerMb);
+    type.reject_unknown_keys();
+  }
+}
+
+void read_gateway(Section section, GatewayConfig& config) {
+  Settings& settings = config.settings;
+  config.name = section.string("name", "gateway");
+  config.listen_address = section.string("listen", "127.0.0.1:31337");
+  settings.gateway_count = static_cast<int>(section.integer("instances", 1, 100'000, 1));
+  settings.gateway_index = static_cast<int>(section.integer("index", 0, settings.gateway_count - 1, 0));
+  settings.zone = read_index(section, "zone", config.zone_names);
+  settings.tick_us = section.duration("tick", 1000);
+  config.log_level = section.one_of<std::string>(
       "log_level", {{"debug", "debug"}, {"info", "info"}, {"warn", "warn"}, {"error", "error"}}, "info");
-  s.finish();
+  section.reject_unknown_keys();
 }
 
-void read_limits(Section s, GatewayConfig& c) {
-  c.dispatcher.max_open_requests = s.integer("max_open", 1, 1'000'000, c.dispatcher.max_open_requests);
-  c.dispatcher.response_buffer_bytes = s.bytes("hold_bytes", c.dispatcher.response_buffer_bytes);
-  c.dispatcher.total_buffer_bytes = s.bytes("hold_bytes_all", c.dispatcher.total_buffer_bytes);
-  c.dispatcher.stream_window_bytes = s.bytes("window_bytes", c.dispatcher.stream_window_bytes);
-  c.dispatcher.health_check_timeout_us = s.time("probe_timeout", c.dispatcher.health_check_timeout_us);
-  FlightSqlLimits& f = c.flight_sql;
-  f.statement_bytes = s.bytes("statement_bytes", f.statement_bytes);
-  f.message_bytes = s.bytes("message_bytes", f.message_bytes);
-  if (f.message_bytes < 4096 || f.message_bytes > (size_t{1} << 30))
-    s.fail("message_bytes", "is not from 4KiB to 1GiB");
-  if (f.statement_bytes >= f.message_bytes) s.fail("statement_bytes", "must be under message_bytes");
-  f.open_per_connection = s.integer("open_per_connection", 1, 1'000'000, f.open_per_connection);
-  f.prepared = s.integer("prepared", 1, 10'000'000, f.prepared);
-  f.prepared_bytes = s.bytes("prepared_bytes", f.prepared_bytes);
-  f.prepared_idle_us = s.time("prepared_idle", f.prepared_idle_us);
-  f.answer_margin_us = s.time("answer_margin", f.answer_margin_us);
-  f.dial_timeout_us = s.time("dial_timeout", f.dial_timeout_us);
-  f.stop_grace_us = s.time("stop_grace", f.stop_grace_us);
-  f.node_connections = s.integer("node_connections", 1, 64, f.node_connections);
-  Settings& m = c.settings;
-  m.max_send_delay_us = f.dial_timeout_us;
-  m.max_attempts = static_cast<int>(s.integer("max_attempts", 1, 255, 6));
-  m.max_retry_after_us = s.time("max_retry_after", 2'000'000);
-  m.clients_honor_retry_after = m.max_retry_after_us > 0;
-  s.finish();
+void read_dispatcher_limits(Section& section, dispatch::DispatcherLimits& limits) {
+  limits.max_open_requests = section.integer("max_open", 1, 1'000'000, limits.max_open_requests);
+  limits.response_buffer_bytes = section.byte_size("hold_bytes", limits.response_buffer_bytes);
+  limits.total_buffer_bytes = section.byte_size("hold_bytes_all", limits.total_buffer_bytes);
+  limits.stream_window_bytes = section.byte_size("window_bytes", limits.stream_window_bytes);
+  limits.health_check_timeout_us = section.duration("probe_timeout", limits.health_check_timeout_us);
 }
 
-void read_engines(Section s, Settings& m) {
-  m.engines_honor_priorities = s.flag("priorities", true);
-  m.engines_honor_grants = s.flag("grants", false);
-  m.max_grant_fraction = s.number("most_grant", 0, 1, 1);
-  m.engines_report_cost = s.flag("tells_cost", true);
-  m.progress_interval_us = s.time("progress_every", 0);
-  m.cancellation_allowed = s.flag("cancel", true);
-  m.health_checks_allowed = s.flag("probes", false);
-  m.load_reports_in_responses = s.flag("reports_in_answers", true);
-  m.load_reports_in_health_checks = m.health_checks_allowed;
-  m.health_check_cost = s.number("probe_fee", 0, 100, 0);
-  m.cross_zone_cost = s.number("cross_zone_fee", 0, 100, 0);
-  m.memory_pressure_policy = s.word<MemoryPressurePolicy>("memory_short",
-                                                          {{"line_up", MemoryPressurePolicy::kQueue},
-                                                           {"cut", MemoryPressurePolicy::kReduceGrant},
-                                                           {"overcommit", MemoryPressurePolicy::kOvercommit}},
-                                                          MemoryPressurePolicy::kQueue);
-  s.finish();
+void read_flight_sql_limits(Section& section, FlightSqlLimits& limits) {
+  limits.max_statement_bytes = section.byte_size("statement_bytes", limits.max_statement_bytes);
+  limits.max_message_bytes = section.byte_size("message_bytes", limits.max_message_bytes);
+  if (limits.max_message_bytes < kMinMessageBytes || limits.max_message_bytes > kMaxMessageBytes) {
+    section.fail("message_bytes", "is not from 4KiB to 1GiB");
+  }
+  if (limits.max_statement_bytes >= limits.max_message_bytes) {
+    section.fail("statement_bytes", "must be less than message_bytes");
+  }
+  limits.max_open_requests_per_connection =
+      section.integer("open_per_connection", 1, 1'000'000, limits.max_open_requests_per_connection);
+  limits.max_prepared_statements = section.integer("prepared", 1, 10'000'000, limits.max_prepared_statements);
+  limits.max_prepared_bytes = section.byte_size("prepared_bytes", limits.max_prepared_bytes);
+  limits.prepared_idle_timeout_us = section.duration("prepared_idle", limits.prepared_idle_timeout_us);
+  limits.response_margin_us = section.duration("answer_margin", limits.response_margin_us);
+  limits.connect_timeout_us = section.duration("dial_timeout", limits.connect_timeout_us);
+  limits.shutdown_grace_us = section.duration("stop_grace", limits.shutdown_grace_us);
+  limits.connections_per_engine = section.integer("node_connections", 1, 64, limits.connections_per_engine);
+}
+
+void read_limits(Section section, GatewayConfig& config) {
+  Settings& settings = config.settings;
+  read_dispatcher_limits(section, config.dispatcher);
+  read_flight_sql_limits(section, config.flight_sql);
+  settings.max_send_delay_us = config.flight_sql.connect_timeout_us;
+  settings.max_attempts = static_cast<int>(section.integer("max_attempts", 1, 255, 6));
+  settings.max_retry_after_us = section.duration("max_retry_after", 2'000'000);
+  settings.clients_honor_retry_after = settings.max_retry_after_us > 0;
+  section.reject_unknown_keys();
+}
+
+void read_engine_capabilities(Section section, Settings& settings) {
+  settings.engines_honor_priorities = section.boolean("priorities", true);
+  settings.engines_honor_grants = section.boolean("grants", false);
+  settings.max_grant_fraction = section.number("most_grant", 0, 1, 1);
+  settings.engines_report_cost = section.boolean("tells_cost", true);
+  settings.progress_interval_us = section.duration("progress_every", 0);
+  settings.cancellation_allowed = section.boolean("cancel", true);
+  settings.health_checks_allowed = section.boolean("probes", false);
+  settings.load_reports_in_responses = section.boolean("reports_in_answers", true);
+  settings.load_reports_in_health_checks = settings.health_checks_allowed;
+  settings.health_check_cost = section.number("probe_fee", 0, 100, 0);
+  settings.cross_zone_cost = section.number("cross_zone_fee", 0, 100, 0);
+  settings.memory_pressure_policy =
+      section.one_of<MemoryPressurePolicy>("memory_short",
+                                           {{"line_up", MemoryPressurePolicy::kQueue},
+                                            {"cut", MemoryPressurePolicy::kReduceGrant},
+                                            {"overcommit", MemoryPressurePolicy::kOvercommit}},
+                                           MemoryPressurePolicy::kQueue);
+  section.reject_unknown_keys();
 }
 
-void read_rules(Section s, Settings& m) {
-  m.response_slack_us = s.time("answer_slack", 20'000);
-  m.drain_grace_us = s.time("drain_grace", 250'000);
-  m.slow_start_min_capacity_fraction = s.number("cold_from", 0, 1, 1);
-  m.collapse_load_multiple = s.number("fall_multiple", 1, 1000, 1);
-  m.collapse_window_us = s.time("fall_after", 0);
-  m.slow_start_duration_us = s.time("warm_after", 0);
-  m.ordering_gap_us = s.time("turn_gap", 0);
-  m.retry_budget_enabled = s.has("budget_window");
-  m.retry_budget_window_us = s.time("budget_window", 0);
-  m.retry_budget_base = s.number("budget_free", 0, kMost, 0);
-  m.retry_budget_per_request = s.number("budget_per_request", 0, 1000, 0);
-  if (m.retry_budget_enabled && m.retry_budget_window_us <= m.max_send_delay_us)
-    s.fail("budget_window", "must be over limits.dial_timeout");
-  // What was decided before the word came may leave once its connection stands.
-  if (m.drain_grace_us < m.max_send_delay_us) s.fail("drain_grace", "must not be under limits.dial_timeout");
-  s.finish();
+void read_rules(Section section, Settings& settings) {
+  settings.response_slack_us = section.duration("answer_slack", 20'000);
+  settings.drain_grace_us = section.duration("drain_grace", 250'000);
+  settings.slow_start_min_capacity_fraction = section.number("cold_from", 0, 1, 1);
+  settings.collapse_load_multiple = section.number("fall_multiple", 1, 1000, 1);
+  settings.collapse_window_us = section.duration("fall_after", 0);
+  settings.slow_start_duration_us = section.duration("warm_after", 0);
+  settings.ordering_gap_us = section.duration("turn_gap", 0);
+  settings.retry_budget_enabled = section.has("budget_window");
+  settings.retry_budget_window_us = section.duration("budget_window", 0);
+  settings.retry_budget_base = section.number("budget_free", 0, kMaxNumber, 0);
+  settings.retry_budget_per_request = section.number("budget_per_request", 0, 1000, 0);
+  if (settings.retry_budget_enabled && settings.retry_budget_window_us <= settings.max_send_delay_us) {
+    section.fail("budget_window", "must be greater than limits.dial_timeout");
+  }
+  // An attempt decided on before the engine was known to drain may still be sent once its connection stands.
+  if (settings.drain_grace_us < settings.max_send_delay_us) {
+    section.fail("drain_grace", "must be at least limits.dial_timeout");
+  }
+  section.reject_unknown_keys();
+}
+
+void read_deadlines(Section& section, ClassSettings& settings) {
+  settings.latency_objective_us = section.duration("aim", settings.latency_objective_us);
+  settings.latency_objective_stretch = section.number("aim_stretch", 0, 1000, 0);
+  settings.request_timeout_us = section.duration("deadline", settings.request_timeout_us);
+  if (settings.latency_objective_us <= 0) section.fail("aim", "must be greater than 0");
+  if (settings.request_timeout_us < settings.latency_objective_us) {
+    section.fail("deadline", "must be at least the aim");
+  }
 }
 
-void read_class(Section& s, GatewayConfig& c) {
-  ClassSettings k;
-  new_name(s, c.class_names);
-  k.latency_objective_us = s.time("aim", k.latency_objective_us);
-  k.latency_objective_stretch = s.number("aim_stretch", 0, 1000, 0);
-  k.request_timeout_us = s.time("deadline", k.request_timeout_us);
-  if (k.latency_objective_us <= 0) s.fail("aim", "must be over 0");
-  if (k.request_timeout_us < k.latency_objective_us) s.fail("deadline", "must not be under the aim");
-  k.priority_weight = s.number("worth", 0, kMost, 1);
-  k.late_weight_fraction = s.number("late_worth", 0, 1, 0);
-  k.threads = s.number("threads", 0.1, 1000, 1);
-  k.idempotency = s.word<Idempotency>("repeat",
-                                      {{"safe", Idempotency::kIdempotent},
-                                       {"keyed", Idempotency::kIdempotentWithKey},
-                                       {"unsafe", Idempotency::kNotIdempotent}},
-                                      Idempotency::kIdempotent);
-  k.dedup_scope = s.word<DedupScope>(
+void read_idempotency(Section& section, ClassSettings& settings) {
+  settings.idempotency = section.one_of<Idempotency>("repeat",
+                                                     {{"safe", Idempotency::kIdempotent},
+                                                      {"keyed", Idempotency::kIdempotentWithKey},
+                                                      {"unsafe", Idempotency::kNotIdempotent}},
+                                                     Idempotency::kIdempotent);
+  settings.dedup_scope = section.one_of<DedupScope>(
       "key_scope", {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}},
       DedupScope::kAll);
-  k.dedup_window_us = s.time("window", 0);
-  if (k.idempotency == Idempotency::kIdempotentWithKey && k.dedup_window_us == 0)
-    s.fail("window", "must be over 0 for a keyed class");
-  k.ordered_by_key = s.flag("in_order", false);
-  k.allowed_zones = several(s, "only_zones", c.zone_names);
-  k.allowed_engine_types = several(s, "only_kinds", c.engine_type_names);
-  k.writes_tables = s.flag("writes_tables", false);
-  k.blocked_by_table_loads = s.flag("waits_for_loads", false);
-  s.finish();
-  c.settings.classes.push_back(std::move(k));
+  settings.dedup_window_us = section.duration("window", 0);
+  if (settings.idempotency == Idempotency::kIdempotentWithKey && settings.dedup_window_us == 0) {
+    section.fail("window", "must be greater than 0 for a keyed class");
+  }
+}
+
+void read_class(Section& section, GatewayConfig& config) {
+  ClassSettings settings;
+  read_unique_name(section, config.class_names);
+  read_deadlines(section, settings);
+  settings.priority_weight = section.number("worth", 0, kMaxNumber, 1);
+  settings.late_weight_fraction = section.number("late_worth", 0, 1, 0);
+  settings.threads = section.number("threads", 0.1, 1000, 1);
+  read_idempotency(section, settings);
+  settings.ordered_by_key = section.boolean("in_order", false);
+  settings.allowed_zones = read_indexes(section, "only_zones", config.zone_names);
+  settings.allowed_engine_types = read_indexes(section, "only_kinds", config.engine_type_names);
+  settings.writes_tables = section.boolean("writes_tables", false);
+  settings.blocked_by_table_loads = section.boolean("waits_for_loads", false);
+  section.reject_unknown_keys();
+  config.settings.classes.push_back(std::move(settings));
+}
+
+void read_tenants(Section& root, GatewayConfig& config) {
+  for (Section& section : root.tables("tenant")) {
+    read_unique_name(section, config.selectors.tenants);
+    TenantSettings tenant;
+    tenant.quota_requests_per_s = section.number("allowance_per_s", 0, kMaxNumber, 0);
+    section.reject_unknown_keys();
+    config.settings.tenants.push_back(tenant);
+  }
+}
+
+void read_tables(Section& root, SelectorSettings& settings) {
+  for (Section& section : root.tables("table")) {
+    Table table;
+    table.name = section.string("name");
+    table.schema = section.string("schema", "main");
+    table.catalog = section.string("catalog", "default");
+    const auto default_group = static_cast<int64_t>(settings.tables.size());
+    table.group = section.integer("group", 0, kMaxTableGroup, default_group);
+    section.reject_unknown_keys();
+    settings.tables.push_back(std::move(table));
+  }
+}
+
+void read_request_headers(Section section, GatewayConfig& config) {
+  SelectorSettings& settings = config.selectors;
+  settings.default_class = read_index(section, "default_class", config.class_names);
+  settings.tenant_header = section.string("tenant_header", "");
+  settings.key_header = section.string("key_header", "");
+  settings.cost_header = section.string("cost_header", "");
+  settings.memory_header = section.string("memory_header", "");
+  section.reject_unknown_keys();
 }
 
-void read_tables(Section& root, SelectorSettings& out) {
-  for (Section& s : root.tables("table")) {
-    Table t;
-    t.name = s.text("name");
-    t.schema = s.text("schema", "main");
-    t.catalog = s.text("catalog", "default");
-    t.group = s.integer("group", 0, int64_t{1} << 53, static_cast<int64_t>(out.tables.size()));
-    s.finish();
-    out.tables.push_back(std::move(t));
+std::optional<sql::StatementKind> statement_kind(const std::string& name) {
+  for (int i = 0; i <= static_cast<int>(sql::StatementKind::kOther); ++i) {
+    const auto kind = static_cast<sql::StatementKind>(i);
+    if (name == sql::kind_name(kind)) return kind;
   }
+  return std::nullopt;
 }
 
-void read_selectors(Section& root, GatewayConfig& c) {
-  using sql::StatementKind;
-  SelectorSettings& out = c.selectors;
-  Section general = root.table("requests");
-  out.default_class = named(general, "default_class", c.class_names);
-  out.tenant_header = general.text("tenant_header", "");
-  out.key_header = general.text("key_header", "");
-  out.cost_header = general.text("cost_header", "");
-  out.memory_header = general.text("memory_header", "");
-  general.finish();
-  for (Section& s : root.tables("select")) {
-    Selector sel;
-    sel.name = s.text("name", "");
-    sel.users = s.texts("users");
-    sel.tables = s.texts("tables");
-    sel.headers = s.pairs("headers");
-    for (const std::string& kind : s.texts("kinds")) {
-      bool known = false;
-      for (int k = 0; k <= static_cast<int>(StatementKind::kOther); ++k) {
-        if (kind != sql::kind_name(static_cast<StatementKind>(k))) continue;
-        sel.kinds.push_back(static_cast<StatementKind>(k));
-        known = true;
-      }
-      if (!known) s.fail("kinds", "'" + kind + "' is no kind of statement");
+void read_selectors(Section& root, GatewayConfig& config) {
+  for (Section& section : root.tables("select")) {
+    Selector selector;
+    selector.name = section.string("name", "");
+    selector.users = section.strings("users");
+    selector.tables = section.strings("tables");
+    selector.headers = section.string_map("headers");
+    for (const std::string& name : section.strings("kinds")) {
+      const std::optional<sql::StatementKind> kind = statement_kind(name);
+      if (!kind) section.fail("kinds", "'" + name + "' is not a kind of statement");
+      selector.kinds.push_back(*kind);
+    }
+    selector.class_index = index_of(section, "class", config.class_names, section.string("class"));
+    if (section.has("tenant")) {
+      selector.tenant = index_of(section, "tenant", config.selectors.tenants, section.string("tenant"));
     }
-    sel.cls = index_of(s, "class", c.class_names, s.text("class"));
-    if (s.has("tenant")) sel.tenant = index_of(s, "tenant", out.tenants, s.text("tenant"));
-    s.finish();
-    out.selectors.push_back(std::move(sel));
+    section.reject_unknown_keys();
+    config.selectors.selectors.push_back(std::move(selector));
   }
 }
 
-void read_schemas(Section s, schemas::StoreLimits& out) {
-  out.entries = s.integer("entries", 0, 10'000'000, out.entries);
-  out.bytes = s.bytes("bytes", out.bytes);
-  out.age_us = s.time("age", out.age_us);
-  s.finish();
+void read_schema_cache(Section section, schemas::SchemaCacheLimits& limits) {
+  limits.max_entries = section.integer("entries", 0, 10'000'000, limits.max_entries);
+  limits.max_bytes = section.byte_size("bytes", limits.max_bytes);
+  limits.max_age_us = section.duration("age", limits.max_age_us);
+  section.reject_unknown_keys();
+}
+
+void read_planning_class(Section& section, GatewayConfig& config) {
+  config.planning_class = read_index(section, "class", config.class_names);
+  const ClassSettings& planning_class = config.settings.classes[config.planning_class];
+  if (planning_class.idempotency != Idempotency::kIdempotent) {
+    section.fail("class", "must be one whose repeat is \"safe\": a plan changes nothing");
+  }
+  if (planning_class.ordered_by_key) section.fail("class", "must not be in_order: plans have no keys");
 }
 
-void read_planning(Section s, GatewayConfig& c) {
-  schemas::PlanningLimits& p = c.planning;
-  p.on = s.has("class");
-  if (p.on) {
-    c.planning_class = named(s, "class", c.class_names);
-    const ClassSettings& k = c.settings.classes[c.planning_class];
-    if (k.idempotency != Idempotency::kIdempotent)
-      s.fail("class", "must be one whose repeat is \"safe\": a plan changes nothing");
-    if (k.ordered_by_key) s.fail("class", "must not be in_order: plans have no keys");
+void read_planning(Section section, GatewayConfig& config) {
+  schemas::PlanningSettings& planning = config.planning;
+  planning.enabled = section.has("class");
+  if (planning.enabled) read_planning_class(section, config);
+  planning.max_concurrent_calls = section.integer("at_once", 1, 100'000, planning.max_concurrent_calls);
+  planning.budget_window_us = section.duration("window", planning.budget_window_us);
+  if (planning.budget_window_us <= 0) section.fail("window", "must be greater than 0");
+  planning.budget_base_calls = section.number("free", 0, kMaxNumber, planning.budget_base_calls);
+  planning.budget_calls_per_statement =
+      section.number("per_statement", 0, 1, planning.budget_calls_per_statement);
+  planning.max_waiters = section.integer("waiting", 1, 1'000'000, planning.max_waiters);
+  planning.call_timeout_us = section.duration("time", planning.call_timeout_us);
+  planning.max_wait_us = section.duration("wait", planning.max_wait_us);
+  // Until responses show its cost, a query is estimated at half of its class's latency objective.
+  const ClassSettings& planning_class = config.settings.classes[config.planning_class];
+  if (planning.enabled && planning.call_timeout_us < planning_class.latency_objective_us) {
+    section.fail("time", "must be at least the aim of its class: calls would be rejected at once");
   }
-  p.at_once = s.integer("at_once", 1, 100'000, p.at_once);
-  p.window_us = s.time("window", p.window_us);
-  if (p.window_us <= 0) s.fail("window", "must be over 0");
-  p.free = s.number("free", 0, kMost, p.free);
-  p.per_statement = s.number("per_statement", 0, 1, p.per_statement);
-  p.waiting = s.integer("waiting", 1, 1'000'000, p.waiting);
-  p.time_us = s.time("time", p.time_us);
-  p.wait_us = s.time("wait", p.wait_us);
-  // Until answers tell better, the module takes a query for half its class's aim of work.
-  if (p.on && p.time_us < c.settings.classes[c.planning_class].latency_objective_us)
-    s.fail("time", "must not be under its class's aim: calls would be refused at once");
-  if (p.wait_us > p.time_us) s.fail("wait", "must not be over the call's own time");
-  s.finish();
+  if (planning.max_wait_us > planning.call_timeout_us) {
+    section.fail("wait", "must be at most the time of the call");
+  }
+  section.reject_unknown_keys();
 }
 
-void read_nodes(Section& root, GatewayConfig& c) {
+void read_engines(Section& root, GatewayConfig& config) {
   std::vector<std::string> names;
   std::set<std::string> addresses;
-  for (Section& s : root.tables("node")) {
-    EngineConfig n;
-    n.name = new_name(s, names);
-    n.address = s.text("address");
-    if (n.address.rfind(':') == std::string::npos) s.fail("address", "must be \"host:port\"");
-    if (!addresses.insert(n.address).second) s.fail("address", "'" + n.address + "' stands twice");
-    n.state = s.word<EndpointState>(
+  for (Section& section : root.tables("node")) {
+    EngineConfig engine;
+    engine.name = read_unique_name(section, names);
+    engine.address = section.string("address");
+    if (engine.address.rfind(':') == std::string::npos) section.fail("address", "must be \"host:port\"");
+    if (!addresses.insert(engine.address).second) {
+      section.fail("address", "'" + engine.address + "' is used more than once");
+    }
+    engine.state = section.one_of<EndpointState>(
         "state", {{"ready", EndpointState::kReady}, {"draining", EndpointState::kDraining}},
         EndpointState::kReady);
-    n.cell = static_cast<int>(s.integer("cell", 0, 65535, 0));
-    n.zone = named(s, "zone", c.zone_names);
-    n.engine_type = named(s, "kind", c.engine_type_names);
-    n.size = s.number("size", 0, kMost, 1);
-    n.started_at = s.integer("started_us", 0, INT64_MAX, 0);
-    s.finish();
-    c.engines.push_back(std::move(n));
+    engine.cell = static_cast<int>(section.integer("cell", 0, kMaxCell, 0));
+    engine.zone = read_index(section, "zone", config.zone_names);
+    engine.engine_type = read_index(section, "kind", config.engine_type_names);
+    engine.size = section.number("size", 0, kMaxNumber, 1);
+    engine.started_at = section.integer("started_us", 0, INT64_MAX, 0);
+    section.reject_unknown_keys();
+    config.engines.push_back(std::move(engine));
   }
 }
 
@@ -247,41 +336,28 @@
 
 GatewayConfig parse_gateway_config(std::string_view text, const std::string& file) {
   Section root = Section::parse(text, file);
-  GatewayConfig c;
-  for (Section& s : root.tables("zone")) {
-    new_name(s, c.zone_names);
-    s.finish();
-  }
-  for (Section& s : root.tables("kind")) {
-    new_name(s, c.engine_type_names);
-    c.settings.engine_type_cores.push_back(s.number("cores", 0, 100'000, 0));
-    c.settings.engine_type_memory_mb.push_back(static_cast<double>(s.bytes("memory", 0)) / (1 << 20));
-    s.finish();
-  }
-  read_gateway(root.table("gateway"), c);
-  read_limits(root.table("limits"), c);
-  read_engines(root.table("engines"), c.settings);
-  read_rules(root.table("rules"), c.settings);
-  for (Section& s : root.tables("class")) read_class(s, c);
-  if (c.settings.classes.empty()) root.fail("class", "at least one [[class]] is needed");
-  for (Section& s : root.tables("tenant")) {
-    new_name(s, c.selectors.tenants);
-    TenantSettings t;
-    t.quota_requests_per_s = s.number("allowance_per_s", 0, kMost, 0);
-    s.finish();
-    c.settings.tenants.push_back(t);
-  }
-  read_tables(root, c.selectors);
-  read_selectors(root, c);
-  read_schemas(root.table("schemas"), c.schemas);
-  read_planning(root.table("planning"), c);
-  read_nodes(root, c);
-  root.finish();
-  return c;
+  GatewayConfig config;
+  read_zones(root, config);
+  read_engine_types(root, config);
+  read_gateway(root.table("gateway"), config);
+  read_limits(root.table("limits"), config);
+  read_engine_capabilities(root.table("engines"), config.settings);
+  read_rules(root.table("rules"), config.settings);
+  for (Section& section : root.tables("class")) read_class(section, config);
+  if (config.settings.classes.empty()) root.fail("class", "at least one [[class]] is needed");
+  read_tenants(root, config);
+  read_tables(root, config.selectors);
+  read_request_headers(root.table("requests"), config);
+  read_selectors(root, config);
+  read_schema_cache(root.table("schemas"), config.schema_cache);
+  read_planning(root.table("planning"), config);
+  read_engines(root, config);
+  root.reject_unknown_keys();
+  return config;
 }
 
-int GatewayConfig::class_named(std::string_view wanted) const {
-  const auto it = std::find(class_names.begin(), class_names.end(), wanted);
+int GatewayConfig::class_index(std::string_view class_name) const {
+  const auto it = std::find(class_names.begin(), class_names.end(), class_name);
   return it == class_names.end() ? 0 : static_cast<int>(it - class_names.begin());
 }
 
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,7 +1,8 @@
-// The configuration of a gateway, read from TOML. docs/operating.md lists every key.
+// The configuration of a gateway, read from TOML. docs/operating.md lists every key; the keys are mapped to
+// the names used in the code here alone.
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -9,56 +10,61 @@
 #include "config/section.h"
 #include "config/selectors.h"
 #include "dispatch/request_dispatcher.h"
-#include "schemas/planning.h"
-#include "schemas/store.h"
+#include "schemas/planning_coordinator.h"
+#include "schemas/schema_cache.h"
 #include "workload/events.h"
 #include "workload/settings.h"
 #include "workload/types.h"
 
 namespace sablelink::config {
 
+/// An analytic engine, as the configuration or the platform's endpoint list gives it.
 struct EngineConfig {
   std::string name;
   std::string address;  // "host:port"
   EndpointState state = EndpointState::kReady;
   int cell = 0;
-  int zone = 0;
-  int engine_type = 0;
-  double size = 1;
-  TimeUs started_at = 0;  // since 1970, as the register tells it; 0: long ago
+  int zone = 0;           // index
+  int engine_type = 0;    // index
+  double size = 1;        // relative to the other engines
+  TimeUs started_at = 0;  // since 1970; 0: long ago
 };
 
+/// Limits of the Flight SQL server and of its connections to engines.
 struct FlightSqlLimits {
-  size_t statement_bytes = 256u << 10;    // longer statements are refused as wrong
-  size_t message_bytes = 16u << 20;       // of one message, either way
-  size_t open_per_connection = 2'000;     // requests of one client connection
-  size_t prepared = 10'000;               // prepared statements, all clients together
-  size_t prepared_bytes = 64u << 20;      // their texts and bound values
-  TimeUs prepared_idle_us = 600'000'000;  // one not used for this long may be forgotten
-  TimeUs answer_margin_us = 25'000;       // kept of a client's time for the answer's way back
-  TimeUs dial_timeout_us = 250'000;       // a node without a connection by then can't be reached
-  TimeUs stop_grace_us = 30'000'000;      // after a signal to stop, requests have this long to end
-  size_t node_connections = 1;            // to each node; a connection carries many requests
+  size_t max_statement_bytes = 256u << 10;
+  size_t max_message_bytes = 16u << 20;  // received or sent
+  size_t max_open_requests_per_connection = 2'000;
+  size_t max_prepared_statements = 10'000;        // of all clients together
+  size_t max_prepared_bytes = 64u << 20;          // texts and bound parameters of the prepared statements
+  TimeUs prepared_idle_timeout_us = 600'000'000;  // a prepared statement unused for longer may be dropped
+  TimeUs response_margin_us = 25'000;             // kept of a client's time-out for the response's way back
+  TimeUs connect_timeout_us = 250'000;            // of a connection to an engine
+  TimeUs shutdown_grace_us = 30'000'000;  // requests in flight at a shutdown have this long to complete
+  size_t connections_per_engine = 1;      // a connection carries many requests
 };
 
 struct GatewayConfig {
   std::string name;
-  std::string listen;
+  std::string listen_address;  // "host:port"
+  std::string log_level = "info";
   Settings settings;
-  std::vector<std::string> class_names, zone_names, engine_type_names;
+  std::vector<std::string> class_names;        // by class index
+  std::vector<std::string> zone_names;         // by zone index
+  std::vector<std::string> engine_type_names;  // by engine type index
   dispatch::DispatcherLimits dispatcher;
   FlightSqlLimits flight_sql;
-  schemas::StoreLimits schemas;
-  schemas::PlanningLimits planning;
-  int planning_class = 0;  // of planning calls, where those are on
+  schemas::SchemaCacheLimits schema_cache;
+  schemas::PlanningSettings planning;
+  int planning_class = 0;  // index of the class of planning calls, where these are enabled
   SelectorSettings selectors;
   std::vector<EngineConfig> engines;
-  std::string log_level = "info";
 
-  int class_named(std::string_view wanted) const;  // the first class where there is none of the name
+  /// The index of the class; 0 where no class has the name.
+  int class_index(std::string_view class_name) const;
 };
 
-// file is only for messages. Throws ConfigError.
+/// Reads and validates a whole configuration. file is only used in messages. Throws ConfigError.
 GatewayConfig parse_gateway_config(std::string_view text, const std::string& file);
 
 }  // namespace sablelink::config
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -4,32 +4,36 @@
 
 #include <charconv>
 #include <cmath>
+#include <cstdio>
+#include <set>
 #include <utility>
 
 namespace sablelink::config {
+namespace {
 
-// The document, shared by all its sections, and this section's table in it; none where it is missing.
-struct Section::Node {
-  std::shared_ptr<toml::table> document;
-  std::string file;
-  const toml::table* table = nullptr;
-  toml::source_region place;
+// Keeps conversions to integers within their range; far above any sensible setting.
+constexpr double kMaxScaledValue = 1e15;
+
+struct Unit {
+  std::string_view name;
+  double scale;
 };
 
-namespace {
+constexpr Unit kDurationUnits[] = {{"us", 1}, {"ms", 1e3}, {"s", 1e6}, {"m", 60e6}, {"h", 3600e6}};
+constexpr Unit kByteUnits[] = {{"KiB", 1024}, {"MiB", 1024.0 * 1024}, {"GiB", 1024.0 * 1024 * 1024}};
 
-std::string place_of(const std::string& file, const toml::source_region& region) {
+std::string position_of(const std::string& file, const toml::source_region& region) {
   return file + ":" + std::to_string(region.begin.line);
 }
 
-const char* type_of(const toml::node& node) {
+std::string type_name(const toml::node& node) {
   switch (node.type()) {
     case toml::node_type::table:
       return "a table";
     case toml::node_type::array:
       return "an array";
     case toml::node_type::string:
-      return "a text";
+      return "a string";
     case toml::node_type::integer:
       return "an integer";
     case toml::node_type::floating_point:
@@ -41,192 +45,216 @@
   }
 }
 
-// A number and the unit after it.
-bool split_unit(std::string_view text, double& value, std::string_view& unit) {
+// Microseconds or bytes from a number that one of the units follows. None for anything else, for negative
+// values and for values over kMaxScaledValue.
+template <size_t kCount>
+std::optional<double> parse_with_unit(std::string_view text, const Unit (&units)[kCount]) {
+  double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc()) return false;
-  unit = text.substr(end - text.data());
-  return std::isfinite(value);
+  if (error != std::errc() || !std::isfinite(value) || value < 0) return std::nullopt;
+  const std::string_view unit_name = text.substr(end - text.data());
+  for (const Unit& unit : units) {
+    if (unit.name != unit_name) continue;
+    const double scaled = value * unit.scale;
+    if (scaled > kMaxScaledValue) return std::nullopt;
+    return scaled;
+  }
+  return std::nullopt;
+}
+
+std::string short_decimal(double value) {
+  char buffer[32];
+  std::snprintf(buffer, sizeof(buffer), "%g", value);
+  return buffer;
 }
 
 }  // namespace
 
-std::optional<TimeUs> parse_time(std::string_view text) {
-  double value = 0;
-  std::string_view unit;
-  if (!split_unit(text, value, unit) || value < 0) return std::nullopt;
-  double scale = 0;
-  if (unit == "us")
-    scale = 1;
-  else if (unit == "ms")
-    scale = 1e3;
-  else if (unit == "s")
-    scale = 1e6;
-  else if (unit == "m")
-    scale = 60e6;
-  else if (unit == "h")
-    scale = 3600e6;
-  if (scale == 0 || value * scale > 1e15) return std::nullopt;
-  return static_cast<TimeUs>(std::llround(value * scale));
-}
-
-Section::Section(std::shared_ptr<Node> node, std::string path)
-    : node_(std::move(node)), path_(std::move(path)) {}
+struct Section::Table {
+  // Shared by all sections of the document.
+  std::shared_ptr<toml::table> document;
+  std::string file;
+  // This section's table in the document; nullptr where it is missing.
+  const toml::table* contents = nullptr;
+  toml::source_region position;
+  // Of this section in the document, with a dot at its end; empty for the root.
+  std::string path;
+  std::set<std::string, std::less<>> read_keys;
+
+  // nullptr where the key is missing.
+  const toml::node* find(std::string_view key) const {
+    return contents == nullptr ? nullptr : contents->get(key);
+  }
+
+  // As find(), and the key counts as known from now on.
+  const toml::node* read(std::string_view key) {
+    read_keys.emplace(key);
+    return find(key);
+  }
+
+  // A section for the table at this key or array element; nullptr for a missing table.
+  std::shared_ptr<Table> child(const std::string& name, const toml::node* node) const {
+    auto table = std::make_shared<Table>();
+    table->document = document;
+    table->file = file;
+    table->contents = node == nullptr ? nullptr : node->as_table();
+    table->position = node == nullptr ? position : node->source();
+    table->path = path + name + ".";
+    return table;
+  }
+};
+
+std::optional<TimeUs> parse_duration(std::string_view text) {
+  const std::optional<double> duration_us = parse_with_unit(text, kDurationUnits);
+  if (!duration_us) return std::nullopt;
+  return static_cast<TimeUs>(std::llround(*duration_us));
+}
+
+Section::Section(std::shared_ptr<Table> table) : table_(std::move(table)) {}
 
 Section Section::parse(std::string_view text, const std::string& file) {
-  auto node = std::make_shared<Node>();
-  node->file = file;
+  auto root = std::make_shared<Table>();
+  root->file = file;
   try {
-    node->document = std::make_shared<toml::table>(toml::parse(text, file));
+    root->document = std::make_shared<toml::table>(toml::parse(text, file));
   } catch (const toml::parse_error& e) {
-    throw ConfigError(place_of(file, e.source()) + ": " + std::string(e.description()));
+    throw ConfigError(position_of(file, e.source()) + ": " + std::string(e.description()));
   }
-  node->table = node->document.get();
-  node->place = node->document->source();
-  return Section(std::move(node), "");
+  root->contents = root->document.get();
+  root->position = root->document->source();
+  return Section(std::move(root));
 }
 
-bool Section::has(std::string_view key) const {
-  return node_->table != nullptr && node_->table->contains(key);
-}
-
-bool Section::has_table(std::string_view key) const { return has(key) && node_->table->get(key)->is_table(); }
+bool Section::has(std::string_view key) const { return table_->find(key) != nullptr; }
 
-const void* Section::find(std::string_view key) {
-  used_.emplace(key);
-  return node_->table == nullptr ? nullptr : node_->table->get(key);
+bool Section::has_table(std::string_view key) const {
+  const toml::node* const node = table_->find(key);
+  return node != nullptr && node->is_table();
 }
 
-void Section::fail(std::string_view key, const std::string& what) const {
-  const toml::node* const node = node_->table == nullptr ? nullptr : node_->table->get(key);
-  throw ConfigError(place_of(node_->file, node == nullptr ? node_->place : node->source()) + ": " + path_ +
-                    std::string(key) + ": " + what);
+void Section::fail(std::string_view key, const std::string& problem) const {
+  const toml::node* const node = table_->find(key);
+  const toml::source_region& position = node == nullptr ? table_->position : node->source();
+  throw ConfigError(position_of(table_->file, position) + ": " + table_->path + std::string(key) + ": " +
+                    problem);
 }
 
-// The body of every typed getter: find, check the type, or fall back.
-#define SABLELINK_FIND(key, fallback)                                 \
-  const auto* const node = static_cast<const toml::node*>(find(key)); \
-  if (node == nullptr) {                                              \
-    if (fallback) return *fallback;                                   \
-    fail(key, "is missing");                                          \
-  }
-
-std::string Section::text(std::string_view key, std::optional<std::string> fallback) {
-  SABLELINK_FIND(key, fallback)
-  if (!node->is_string()) fail(key, std::string("must be a text, not ") + type_of(*node));
+std::string Section::string(std::string_view key, std::optional<std::string> fallback) {
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *std::move(fallback);
+  if (node == nullptr) fail(key, "is missing");
+  if (!node->is_string()) fail(key, "must be a string, not " + type_name(*node));
   return node->as_string()->get();
 }
 
 int64_t Section::integer(std::string_view key, int64_t low, int64_t high, std::optional<int64_t> fallback) {
-  SABLELINK_FIND(key, fallback)
-  if (!node->is_integer()) fail(key, std::string("must be an integer, not ") + type_of(*node));
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *fallback;
+  if (node == nullptr) fail(key, "is missing");
+  if (!node->is_integer()) fail(key, "must be an integer, not " + type_name(*node));
   const int64_t value = node->as_integer()->get();
-  if (value < low || value > high)
+  if (value < low || value > high) {
     fail(key, std::to_string(value) + " is not from " + std::to_string(low) + " to " + std::to_string(high));
+  }
   return value;
 }
 
 double Section::number(std::string_view key, double low, double high, std::optional<double> fallback) {
-  SABLELINK_FIND(key, fallback)
-  if (!node->is_number()) fail(key, std::string("must be a number, not ") + type_of(*node));
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *fallback;
+  if (node == nullptr) fail(key, "is missing");
+  if (!node->is_number()) fail(key, "must be a number, not " + type_name(*node));
   const double value = *node->value<double>();
-  if (!(value >= low && value <= high)) {
-    const auto brief = [](double v) {
-      char buffer[32];
-      std::snprintf(buffer, sizeof(buffer), "%g", v);
-      return std::string(buffer);
-    };
-    fail(key, brief(value) + " is not from " + brief(low) + " to " + brief(high));
+  const bool in_range = value >= low && value <= high;  // false for NaN
+  if (!in_range) {
+    fail(key, short_decimal(value) + " is not from " + short_decimal(low) + " to " + short_decimal(high));
   }
   return value;
 }
 
-bool Section::flag(std::string_view key, std::optional<bool> fallback) {
-  SABLELINK_FIND(key, fallback)
-  if (!node->is_boolean()) fail(key, std::string("must be true or false, not ") + type_of(*node));
+bool Section::boolean(std::string_view key, std::optional<bool> fallback) {
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *fallback;
+  if (node == nullptr) fail(key, "is missing");
+  if (!node->is_boolean()) fail(key, "must be true or false, not " + type_name(*node));
   return node->as_boolean()->get();
 }
 
-TimeUs Section::time(std::string_view key, std::optional<TimeUs> fallback) {
-  SABLELINK_FIND(key, fallback)
-  const std::optional<TimeUs> value = node->is_string() ? parse_time(node->as_string()->get()) : std::nullopt;
-  if (!value) fail(key, "must be a time such as \"250ms\" or \"1.5s\"");
-  return *value;
+TimeUs Section::duration(std::string_view key, std::optional<TimeUs> fallback) {
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *fallback;
+  if (node == nullptr) fail(key, "is missing");
+  std::optional<TimeUs> duration_us;
+  if (node->is_string()) duration_us = parse_duration(node->as_string()->get());
+  if (!duration_us) fail(key, R"(must be a time such as "250ms" or "1.5s")");
+  return *duration_us;
 }
 
-size_t Section::bytes(std::string_view key, std::optional<size_t> fallback) {
-  SABLELINK_FIND(key, fallback)
-  double value = -1;
-  std::string_view unit;
-  double scale = 0;
+size_t Section::byte_size(std::string_view key, std::optional<size_t> fallback) {
+  const toml::node* const node = table_->read(key);
+  if (node == nullptr && fallback) return *fallback;
+  if (node == nullptr) fail(key, "is missing");
+  std::optional<double> bytes;
   if (node->is_integer()) {
-    value = static_cast<double>(node->as_integer()->get());
-    scale = 1;
-  } else if (node->is_string() && split_unit(node->as_string()->get(), value, unit)) {
-    if (unit == "KiB")
-      scale = 1024;
-    else if (unit == "MiB")
-      scale = 1024.0 * 1024;
-    else if (unit == "GiB")
-      scale = 1024.0 * 1024 * 1024;
+    bytes = static_cast<double>(node->as_integer()->get());
+  } else if (node->is_string()) {
+    bytes = parse_with_unit(node->as_string()->get(), kByteUnits);
+  }
+  if (!bytes || *bytes < 0 || *bytes > kMaxScaledValue) {
+    fail(key, "must be a size such as 4096 or \"64KiB\"");
   }
-  if (scale == 0 || value < 0 || value * scale > 1e15) fail(key, "must be a size such as 4096 or \"64KiB\"");
-  return static_cast<size_t>(value * scale);
+  return static_cast<size_t>(*bytes);
 }
 
-std::vector<std::string> Section::texts(std::string_view key) {
-  const auto* const node = static_cast<const toml::node*>(find(key));
+std::vector<std::string> Section::strings(std::string_view key) {
+  const toml::node* const node = table_->read(key);
   std::vector<std::string> items;
   if (node == nullptr) return items;
-  if (!node->is_array()) fail(key, std::string("must be an array of texts, not ") + type_of(*node));
+  if (!node->is_array()) fail(key, "must be an array of strings, not " + type_name(*node));
   for (const toml::node& item : *node->as_array()) {
-    if (!item.is_string()) fail(key, std::string("holds ") + type_of(item) + " among its texts");
+    if (!item.is_string()) fail(key, "holds " + type_name(item) + " among its strings");
     items.push_back(item.as_string()->get());
   }
   return items;
 }
 
-std::map<std::string, std::string> Section::pairs(std::string_view key) {
-  const auto* const node = static_cast<const toml::node*>(find(key));
+std::map<std::string, std::string> Section::string_map(std::string_view key) {
+  const toml::node* const node = table_->read(key);
   std::map<std::string, std::string> items;
   if (node == nullptr) return items;
-  if (!node->is_table()) fail(key, std::string("must be a table of texts, not ") + type_of(*node));
+  if (!node->is_table()) fail(key, "must be a table of strings, not " + type_name(*node));
   for (const auto& [name, item] : *node->as_table()) {
-    if (!item.is_string()) fail(key, std::string(name.str()) + " must be a text, not " + type_of(item));
+    if (!item.is_string()) fail(key, std::string(name.str()) + " must be a string, not " + type_name(item));
     items[std::string(name.str())] = item.as_string()->get();
   }
   return items;
 }
 
 Section Section::table(std::string_view key) {
-  const auto* const node = static_cast<const toml::node*>(find(key));
-  if (node != nullptr && !node->is_table()) fail(key, std::string("must be a table, not ") + type_of(*node));
-  auto inner = std::make_shared<Node>(*node_);
-  inner->table = node == nullptr ? nullptr : node->as_table();
-  if (node != nullptr) inner->place = node->source();
-  return Section(std::move(inner), path_ + std::string(key) + ".");
+  const toml::node* const node = table_->read(key);
+  if (node != nullptr && !node->is_table()) fail(key, "must be a table, not " + type_name(*node));
+  return Section(table_->child(std::string(key), node));
 }
 
 std::vector<Section> Section::tables(std::string_view key) {
-  const auto* const node = static_cast<const toml::node*>(find(key));
+  const toml::node* const node = table_->read(key);
   std::vector<Section> sections;
   if (node == nullptr) return sections;
-  if (!node->is_array()) fail(key, std::string("must be written as [[") + std::string(key) + "]]");
+  const std::string name(key);
+  if (!node->is_array()) fail(key, "must be written as [[" + name + "]]");
   for (const toml::node& item : *node->as_array()) {
-    if (!item.is_table()) fail(key, std::string("must be written as [[") + std::string(key) + "]]");
-    auto inner = std::make_shared<Node>(*node_);
-    inner->table = item.as_table();
-    inner->place = item.source();
-    sections.push_back(
-        Section(std::move(inner), path_ + std::string(key) + "[" + std::to_string(sections.size()) + "]."));
+    if (!item.is_table()) fail(key, "must be written as [[" + name + "]]");
+    const std::string index = "[" + std::to_string(sections.size()) + "]";
+    sections.push_back(Section(table_->child(name + index, &item)));
   }
   return sections;
 }
 
-void Section::finish() {
-  if (node_->table == nullptr) return;
-  for (const auto& [key, node] : *node_->table)
-    if (!used_.contains(key.str())) fail(key.str(), "is not a known key");
+void Section::reject_unknown_keys() const {
+  if (table_->contents == nullptr) return;
+  for (const auto& [key, node] : *table_->contents) {
+    if (!table_->read_keys.contains(key.str())) fail(key.str(), "is not a known key");
+  }
 }
 
 }  // namespace sablelink::config
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -1,13 +1,14 @@
-// Typed reading of TOML tables. Every key must be read: what is left over at the end is an error, as are
-// missing keys and values of the wrong type or range. Errors name file, line and the key's whole path.
+// Typed access to TOML tables. A table must be read completely: unknown keys are errors, as are missing keys
+// and values of the wrong type or range. Error messages give the file, the line and the full path of the key.
 #pragma once
 
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <optional>
-#include <set>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 #include "workload/error.h"
@@ -15,64 +16,75 @@
 
 namespace sablelink::config {
 
+/// A configuration can't be used: it isn't TOML, or a key is missing, unknown or has an unusable value.
 struct ConfigError : Error {
   using Error::Error;
 };
 
+/// One table of a TOML document. The document lives as long as any section of it. A missing table is an empty
+/// section, so that its keys take their defaults.
 class Section {
  public:
-  // Parses a whole document. Throws ConfigError where it is no TOML.
+  /// The root table of a document. file is only used in messages. Throws ConfigError for invalid TOML.
   static Section parse(std::string_view text, const std::string& file);
 
   bool has(std::string_view key) const;
-  bool has_table(std::string_view key) const;  // [key], and not [[key]]
+  /// True for a table, [key]; false for an array of tables, [[key]].
+  bool has_table(std::string_view key) const;
 
-  // Each returns fallback where the key is missing; without a fallback that is an error.
-  std::string text(std::string_view key, std::optional<std::string> fallback = std::nullopt);
+  // Each returns the fallback where the key is missing, and throws ConfigError where there is no fallback
+  // either, or where the value has another type or is out of range.
+  std::string string(std::string_view key, std::optional<std::string> fallback = std::nullopt);
+  /// low and high belong to the range.
   int64_t integer(std::string_view key, int64_t low, int64_t high,
                   std::optional<int64_t> fallback = std::nullopt);
   double number(std::string_view key, double low, double high, std::optional<double> fallback = std::nullopt);
-  bool flag(std::string_view key, std::optional<bool> fallback = std::nullopt);
-  // A time written as "250ms", "1.5s", "20us", "2m" or "1h".
-  TimeUs time(std::string_view key, std::optional<TimeUs> fallback = std::nullopt);
-  // A size written as a number of bytes, "64KiB", "4MiB" or "1GiB".
-  size_t bytes(std::string_view key, std::optional<size_t> fallback = std::nullopt);
-  std::vector<std::string> texts(std::string_view key);
-  std::map<std::string, std::string> pairs(std::string_view key);  // a table of texts
+  bool boolean(std::string_view key, std::optional<bool> fallback = std::nullopt);
+  /// In microseconds; written as a string, for example "250ms" (see parse_duration()).
+  TimeUs duration(std::string_view key, std::optional<TimeUs> fallback = std::nullopt);
+  /// Written as a number of bytes or as a string such as "64KiB", "4MiB" or "1GiB".
+  size_t byte_size(std::string_view key, std::optional<size_t> fallback = std::nullopt);
 
+  /// An array of strings; empty where the key is missing.
+  std::vector<std::string> strings(std::string_view key);
+  /// A table of strings; empty where the key is missing.
+  std::map<std::string, std::string> string_map(std::string_view key);
+
+  /// The value that one of the names stands for.
   template <typename T>
-  T word(std::string_view key, const std::vector<std::pair<std::string, T>>& words,
-         std::optional<T> fallback) {
+  T one_of(std::string_view key, const std::vector<std::pair<std::string, T>>& values_by_name,
+           std::optional<T> fallback) {
     if (!has(key) && fallback) return *fallback;
-    const std::string value = text(key);
-    std::string known;
-    for (const auto& [name, meaning] : words) {
-      if (name == value) return meaning;
-      known += (known.empty() ? "" : ", ") + name;
+    const std::string chosen = string(key);
+    std::string known_names;
+    for (const auto& [name, value] : values_by_name) {
+      if (name == chosen) return value;
+      known_names += (known_names.empty() ? "" : ", ") + name;
     }
-    fail(key, "'" + value + "' is none of: " + known);
+    fail(key, "'" + chosen + "' is not one of: " + known_names);
   }
 
-  Section table(std::string_view key);                // an empty one where it is missing
-  std::vector<Section> tables(std::string_view key);  // [[key]]; none where it is missing
+  /// [key]; an empty section where it is missing.
+  Section table(std::string_view key);
+  /// [[key]]; none where it is missing.
+  std::vector<Section> tables(std::string_view key);
 
-  // Throws for the first key that nothing has read.
-  void finish();
+  /// To be called after the last key was read: throws ConfigError for the first key of the table that wasn't.
+  void reject_unknown_keys() const;
 
-  // Throws ConfigError with the place of the key, or of the section where the key isn't there.
-  [[noreturn]] void fail(std::string_view key, const std::string& what) const;
+  /// Throws ConfigError with the position of the key, or of the section where the key is missing.
+  [[noreturn]] void fail(std::string_view key, const std::string& problem) const;
 
  private:
-  struct Node;
-  Section(std::shared_ptr<Node> node, std::string path);
-  const void* find(std::string_view key);
+  struct Table;
+
+  explicit Section(std::shared_ptr<Table> table);
 
-  std::shared_ptr<Node> node_;
-  std::string path_;
-  std::set<std::string, std::less<>> used_;
+  std::shared_ptr<Table> table_;
 };
 
-// "1.5s" to microseconds; none where it isn't a time.
-std::optional<TimeUs> parse_time(std::string_view text);
+/// Microseconds from a number with a unit, for example "250ms", "1.5s", "20us", "2m" or "1h". None for
+/// anything else.
+std::optional<TimeUs> parse_duration(std::string_view text);
 
 }  // namespace sablelink::config
--- a/src/config/selectors.cpp
+++ b/src/config/selectors.cpp
@@ -10,78 +10,114 @@
 namespace sablelink::config {
 namespace {
 
+// Keeps group numbers made from a hash well within those that a configuration may give.
+constexpr int kTableGroupHashShift = 33;
+
 bool matches(std::string_view pattern, std::string_view text) {
-  if (!pattern.empty() && pattern.back() == '*')
-    return text.starts_with(pattern.substr(0, pattern.size() - 1));
+  if (pattern.ends_with('*')) {
+    pattern.remove_suffix(1);
+    return text.starts_with(pattern);
+  }
   return pattern == text;
 }
 
 bool any_matches(const std::vector<std::string>& patterns, std::string_view text) {
   return std::any_of(patterns.begin(), patterns.end(),
-                     [&](const std::string& p) { return matches(p, text); });
+                     [&](const std::string& pattern) { return matches(pattern, text); });
 }
 
-std::string_view header(const RequestFacts& facts, std::string_view name) {
-  if (facts.headers == nullptr || name.empty()) return {};
-  for (const auto& [key, value] : *facts.headers)
+std::string_view header_value(const RequestAttributes& request, std::string_view name) {
+  if (request.headers == nullptr || name.empty()) return {};
+  for (const auto& [key, value] : *request.headers) {
     if (key == name) return value;
+  }
   return {};
 }
 
-bool holds(const Selector& s, const RequestFacts& facts) {
-  if (!s.users.empty() && !any_matches(s.users, facts.user)) return false;
-  if (!s.kinds.empty() && std::find(s.kinds.begin(), s.kinds.end(), facts.statement->kind) == s.kinds.end())
-    return false;
-  if (!s.tables.empty() && std::none_of(facts.statement->tables.begin(), facts.statement->tables.end(),
-                                        [&](const std::string& t) { return any_matches(s.tables, t); }))
-    return false;
-  return std::all_of(s.headers.begin(), s.headers.end(),
-                     [&](const auto& h) { return matches(h.second, header(facts, h.first)); });
+bool matches_kind(const Selector& selector, sql::StatementKind kind) {
+  return selector.kinds.empty() ||
+         std::find(selector.kinds.begin(), selector.kinds.end(), kind) != selector.kinds.end();
+}
+
+bool matches_tables(const Selector& selector, const std::vector<std::string>& tables) {
+  return selector.tables.empty() || std::any_of(tables.begin(), tables.end(), [&](const std::string& table) {
+           return any_matches(selector.tables, table);
+         });
+}
+
+bool matches_headers(const Selector& selector, const RequestAttributes& request) {
+  return std::all_of(selector.headers.begin(), selector.headers.end(), [&](const auto& header) {
+    const auto& [name, pattern] = header;
+    return matches(pattern, header_value(request, name));
+  });
+}
+
+bool matches_request(const Selector& selector, const RequestAttributes& request) {
+  return (selector.users.empty() || any_matches(selector.users, request.user)) &&
+         matches_kind(selector, request.statement->kind) &&
+         matches_tables(selector, request.statement->tables) && matches_headers(selector, request);
 }
 
 uint64_t hash(std::string_view text) { return XXH3_64bits(text.data(), text.size()); }
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_non_negative(std::string_view text) {
   double value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value) || value < 0)
-    return std::nullopt;
+  const char* const text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text_end, value);
+  if (error != std::errc() || end != text_end) return std::nullopt;
+  if (!std::isfinite(value) || value < 0) return std::nullopt;
   return value;
 }
 
-// The group of the first table named: as configured, else a number of its own, so that queries on one table
-// belong together.
-int64_t group_of(const SelectorSettings& settings, const sql::StatementInfo& statement) {
+bool is_named(const Table& table, const std::string& name) {
+  const std::string with_schema = table.schema + "." + table.name;
+  return name == table.name || name == with_schema || name == table.catalog + "." + with_schema;
+}
+
+// The group of the first table named. One that isn't configured gets a group of its own, so that queries on
+// it stay together all the same.
+int64_t table_group(const SelectorSettings& settings, const sql::StatementInfo& statement) {
   if (statement.tables.empty()) return -1;
   const std::string& name = statement.tables.front();
-  for (const Table& t : settings.tables)
-    if (name == t.name || name == t.schema + "." + t.name ||
-        name == t.catalog + "." + t.schema + "." + t.name)
-      return t.group;
-  return static_cast<int64_t>(hash(name) >> 33);
+  const auto configured = std::find_if(settings.tables.begin(), settings.tables.end(),
+                                       [&](const Table& table) { return is_named(table, name); });
+  if (configured != settings.tables.end()) return configured->group;
+  return static_cast<int64_t>(hash(name) >> kTableGroupHashShift);
+}
+
+// The first tenant where the header is missing or names none.
+int tenant_by_header(const SelectorSettings& settings, const RequestAttributes& request) {
+  const std::string_view name = header_value(request, settings.tenant_header);
+  const auto it = std::find(settings.tenants.begin(), settings.tenants.end(), name);
+  if (name.empty() || it == settings.tenants.end()) return 0;
+  return static_cast<int>(it - settings.tenants.begin());
+}
+
+uint64_t ordering_key(const SelectorSettings& settings, const RequestAttributes& request) {
+  const std::string_view key = header_value(request, settings.key_header);
+  if (key.empty()) return 0;
+  return std::max<uint64_t>(hash(key), 1);
 }
 
 }  // namespace
 
-Selection select(const SelectorSettings& settings, const RequestFacts& facts) {
-  Selection out;
-  out.cls = settings.default_class;
-  const std::string_view tenant = header(facts, settings.tenant_header);
-  for (size_t i = 0; i < settings.tenants.size(); ++i)
-    if (!tenant.empty() && settings.tenants[i] == tenant) out.tenant = static_cast<int>(i);
-  for (const Selector& s : settings.selectors) {
-    if (!holds(s, facts)) continue;
-    out.cls = s.cls;
-    if (s.tenant >= 0) out.tenant = s.tenant;
-    out.by = &s;
-    break;
+Classification classify(const SelectorSettings& settings, const RequestAttributes& request) {
+  Classification result;
+  result.class_index = settings.default_class;
+  result.tenant = tenant_by_header(settings, request);
+  const auto selector =
+      std::find_if(settings.selectors.begin(), settings.selectors.end(),
+                   [&](const Selector& candidate) { return matches_request(candidate, request); });
+  if (selector != settings.selectors.end()) {
+    result.class_index = selector->class_index;
+    result.tenant = selector->tenant.value_or(result.tenant);
+    result.matched_selector = &*selector;
   }
-  const std::string_view key = header(facts, settings.key_header);
-  if (!key.empty()) out.key = std::max<uint64_t>(hash(key), 1);  // 0 means none
-  out.table_group = group_of(settings, *facts.statement);
-  out.cost_us = number(header(facts, settings.cost_header));
-  out.need_mb = number(header(facts, settings.memory_header)).value_or(0);
-  return out;
+  result.key = ordering_key(settings, request);
+  result.table_group = table_group(settings, *request.statement);
+  result.estimated_cost_us = parse_non_negative(header_value(request, settings.cost_header));
+  result.estimated_memory_mb = parse_non_negative(header_value(request, settings.memory_header)).value_or(0);
+  return result;
 }
 
 }  // namespace sablelink::config
--- a/src/flightsql/columns.cpp
+++ b/src/flightsql/columns.cpp
@@ -17,12 +17,12 @@
 // what waits only hears that there is news.
 class Columns::Sink : public dispatch::ResponseSink {
  public:
-  Sink(Columns& columns, std::string key, schemas::Subject subject, std::string parameters_key)
+  Sink(Columns& columns, std::string key, schemas::CachedStatement subject, std::string parameters_key)
       : columns_(columns),
         key_(std::move(key)),
         subject_(std::move(subject)),
         parameters_key_(std::move(parameters_key)),
-        asked_(columns.store_.moment()) {}
+        asked_(columns.store_.change_count()) {}
 
   void write(std::string message) override { message_ = std::move(message); }
   bool consumes_immediately() const override { return true; }
@@ -31,9 +31,9 @@
     dispatch::EngineError fault;
     const TimeUs now = columns_.clock_.now();
     if (answer.status == dispatch::RequestStatus::kServed && plan.ParseFromString(message_)) {
-      if (!plan.dataset().empty()) columns_.store_.learn(now, subject_, plan.dataset(), asked_);
+      if (!plan.dataset().empty()) columns_.store_.put(now, subject_, plan.dataset(), asked_);
       if (plan.has_parameters() && !parameters_key_.empty())
-        columns_.store_.learn(now, {parameters_key_, subject_.tables}, plan.parameters(), asked_);
+        columns_.store_.put(now, {parameters_key_, subject_.tables}, plan.parameters(), asked_);
     } else {
       columns_.log_.info("plan_failed", {{"verdict", dispatch::request_status_name(answer.status)},
                                          {"reason", dispatch::completion_reason_name(answer.reason)},
@@ -46,13 +46,13 @@
  private:
   Columns& columns_;
   const std::string key_;
-  const schemas::Subject subject_;
+  const schemas::CachedStatement subject_;
   const std::string parameters_key_;
-  const schemas::Store::Moment asked_;
+  const schemas::SchemaCache::ChangeCount asked_;
   std::string message_;
 };
 
-Columns::Columns(const schemas::StoreLimits& store, const schemas::PlanningLimits& planning,
+Columns::Columns(const schemas::SchemaCacheLimits& store, const schemas::PlanningSettings& planning,
                  int planning_class, uint64_t life, dispatch::RequestDispatcher& dispatcher, Clock& clock,
                  Log& log)
     : limits_(planning),
@@ -66,7 +66,8 @@
 
 Columns::~Columns() = default;
 
-schemas::Subject Columns::subject(const std::string& text, const sql::StatementInfo& info, int cls) const {
+schemas::CachedStatement Columns::subject(const std::string& text, const sql::StatementInfo& info,
+                                          int cls) const {
   return {"d" + std::to_string(cls) + " " + sql::shape_of(text), info.tables};
 }
 
@@ -83,11 +84,11 @@
   }
 }
 
-void Columns::ask(const std::string& key, const std::string& text, const schemas::Subject& subject,
+void Columns::ask(const std::string& key, const std::string& text, const schemas::CachedStatement& subject,
                   const std::string& parameters_key) {
   QueryRequest query;
   query.class_index = class_;
-  query.deadline = clock_.now() + limits_.time_us;
+  query.deadline = clock_.now() + limits_.call_timeout_us;
   auto statement = std::make_shared<dispatch::Statement>();
   statement->text = text;
   statement->kind = dispatch::ExecutionKind::kPlan;
@@ -98,7 +99,7 @@
 }
 
 void Columns::ended(const std::string& key, const dispatch::EngineError& error) {
-  for (const schemas::Planning::Waiter waiter : planning_.ended(key)) {
+  for (const schemas::PlanningCoordinator::WaiterId waiter : planning_.complete_call(key)) {
     const auto it = waiting_.find(waiter);
     if (it == waiting_.end()) continue;
     it->second->error = error;
@@ -110,7 +111,7 @@
                                             sql::StatementInfo info, int cls, bool with_parameters) {
   Told told;
   if (info.kind != sql::StatementKind::kQuery) co_return told;
-  const schemas::Subject about = subject(text, info, cls);
+  const schemas::CachedStatement about = subject(text, info, cls);
   const bool both = with_parameters && sql::count_parameters(text) > 0;
   const std::string parameters_key =
       both ? "p" + std::to_string(cls) + " " + sql::exact_shape_of(text) : std::string();
@@ -119,32 +120,33 @@
     if (both) told.parameters = store_.find(clock_.now(), parameters_key).value_or("");
     return !told.dataset.empty() && (!both || !told.parameters.empty());
   };
-  planning_.asked(clock_.now());
+  planning_.on_lookup(clock_.now());
   if (look()) co_return told;
   const std::string& key = both ? parameters_key : about.key;
   const uint64_t waiter = ++last_waiter_;
-  const schemas::Planning::Word word = planning_.want(clock_.now(), key, waiter);
-  if (word == schemas::Planning::Word::kGoWithout) co_return told;
+  const schemas::PlanningCoordinator::Decision word = planning_.request_columns(clock_.now(), key, waiter);
+  if (word == schemas::PlanningCoordinator::Decision::kProceedWithoutColumns) co_return told;
   const auto waiting = std::make_shared<Waiting>();
   waiting_[waiter] = waiting;
-  const TimeUs most = call->allowed() ? std::min(limits_.wait_us, *call->allowed() / 2) : limits_.wait_us;
+  const TimeUs most =
+      call->allowed() ? std::min(limits_.max_wait_us, *call->allowed() / 2) : limits_.max_wait_us;
   const std::weak_ptr<Waiting> weak = waiting;
   const auto give_up = [weak] {
     if (const auto w = weak.lock()) w->over.give();
   };
   clock_.call_after(most, give_up);
   call->on_cancelled(give_up);
-  if (word == schemas::Planning::Word::kAsk) ask(key, text, about, parameters_key);
+  if (word == schemas::PlanningCoordinator::Decision::kStartCall) ask(key, text, about, parameters_key);
   co_await waiting->over.wait();
   waiting_.erase(waiter);
-  planning_.left(key, waiter);
+  planning_.remove_waiter(key, waiter);
   look();
   told.error = waiting->error;
   co_return told;
 }
 
-Columns::Seen Columns::answered(const schemas::Subject& subject, const std::string& message,
-                                uint64_t promised, schemas::Store::Moment asked) {
+Columns::Seen Columns::answered(const schemas::CachedStatement& subject, const std::string& message,
+                                uint64_t promised, schemas::SchemaCache::ChangeCount asked) {
   flight::FlightData data;
   if (!data.ParseFromString(message) || data.data_header().empty()) return Seen::kNoSchema;
   std::string schema = arrowipc::encapsulate({data.data_header(), ""});
@@ -154,8 +156,8 @@
     ++changed_;
     log_.warn("schema_changed", {{"statement", subject.key.substr(0, 200)}});
   }
-  if (!store_.learn(clock_.now(), subject, std::move(schema), asked) && seen == Seen::kOther)
-    store_.forget(subject.key);
+  if (!store_.put(clock_.now(), subject, std::move(schema), asked) && seen == Seen::kOther)
+    store_.remove(subject.key);
   return seen;
 }
 
--- a/src/flightsql/columns.h
+++ b/src/flightsql/columns.h
@@ -1,7 +1,7 @@
 // The columns of statements, as clients are told them before anything has run: from the store where answers
 // or plans have shown them, else by a planning call, else not at all. One instance serves one gateway's
-// front, on the dispatcher's strand; what is rationed is decided by schemas::Planning, where a call goes by
-// the decision module.
+// front, on the dispatcher's strand; what is rationed is decided by schemas::PlanningCoordinator, where a
+// call goes by the decision module.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 #include "base/signal.h"
 #include "dispatch/request_dispatcher.h"
 #include "rpc/rpc.h"
-#include "schemas/planning.h"
-#include "schemas/store.h"
+#include "schemas/planning_coordinator.h"
+#include "schemas/schema_cache.h"
 #include "sql/statement.h"
 
 namespace sablelink::flightsql {
@@ -24,8 +24,8 @@
 class Columns {
  public:
   // life names this gateway's start in the tags of planning calls. The references must outlive it.
-  Columns(const schemas::StoreLimits& store, const schemas::PlanningLimits& planning, int planning_class,
-          uint64_t life, dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log);
+  Columns(const schemas::SchemaCacheLimits& store, const schemas::PlanningSettings& planning,
+          int planning_class, uint64_t life, dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log);
   ~Columns();
   Columns(const Columns&) = delete;
   Columns& operator=(const Columns&) = delete;
@@ -37,7 +37,7 @@
   };
   // For how the statement's class reaches engines, the key of its columns holds that class: another may be
   // bound to other engines, which may hold other tables.
-  schemas::Subject subject(const std::string& text, const sql::StatementInfo& info, int cls) const;
+  schemas::CachedStatement subject(const std::string& text, const sql::StatementInfo& info, int cls) const;
 
   // with_parameters: those columns are wanted too, where the statement has parameters. The wait ends with the
   // client's call, too.
@@ -46,16 +46,16 @@
 
   // What an answer's first message shows, to be compared with what was promised.
   enum class Seen { kNoSchema, kAsPromised, kOther };
-  Seen answered(const schemas::Subject& subject, const std::string& message, uint64_t promised,
-                schemas::Store::Moment asked);
-  void defined(const std::vector<std::string>& tables) { store_.defined(tables); }
+  Seen answered(const schemas::CachedStatement& subject, const std::string& message, uint64_t promised,
+                schemas::SchemaCache::ChangeCount asked);
+  void defined(const std::vector<std::string>& tables) { store_.invalidate_tables(tables); }
   void forget_all() { store_.clear(); }
-  schemas::Store::Moment moment() const { return store_.moment(); }
+  schemas::SchemaCache::ChangeCount moment() const { return store_.change_count(); }
   // A hash of a schema's columns, for tickets; never 0 but for none.
   static uint64_t hash(const std::string& schema);
 
-  const schemas::Store& store() const { return store_; }
-  const schemas::Planning& planning() const { return planning_; }
+  const schemas::SchemaCache& store() const { return store_; }
+  const schemas::PlanningCoordinator& planning() const { return planning_; }
   uint64_t changed() const { return changed_; }  // answers with another schema than was promised
 
  private:
@@ -66,18 +66,18 @@
     dispatch::EngineError error;
   };
 
-  void ask(const std::string& key, const std::string& text, const schemas::Subject& subject,
+  void ask(const std::string& key, const std::string& text, const schemas::CachedStatement& subject,
            const std::string& parameters_key);
   void ended(const std::string& key, const dispatch::EngineError& error);
 
-  const schemas::PlanningLimits limits_;
+  const schemas::PlanningSettings limits_;
   const int class_;
   const uint64_t life_;
   dispatch::RequestDispatcher& dispatcher_;
   Clock& clock_;
   Log& log_;
-  schemas::Store store_;
-  schemas::Planning planning_;
+  schemas::SchemaCache store_;
+  schemas::PlanningCoordinator planning_;
   std::map<uint64_t, std::shared_ptr<Waiting>> waiting_;
   uint64_t last_waiter_ = 0, last_call_ = 0, changed_ = 0;
 };
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -105,9 +105,10 @@
   }
 
   RequestId id = 0;
-  schemas::Subject subject;  // whose columns the first message shows; none: they aren't learned from it
+  schemas::CachedStatement
+      subject;  // whose columns the first message shows; none: they aren't learned from it
   uint64_t promised = 0;
-  schemas::Store::Moment asked = 0;
+  schemas::SchemaCache::ChangeCount asked = 0;
   bool other_schema = false;
   std::deque<std::string> queue;
   std::optional<dispatch::FinalResponse> answer;
@@ -120,15 +121,16 @@
     : limits_(config.flight_sql),
       selectors_(config.selectors),
       classes_(config.settings.classes),
-      most_wait_us_(config.planning.wait_us),
+      most_wait_us_(config.planning.max_wait_us),
       dispatcher_(dispatcher),
       clock_(clock),
       log_(log),
       tickets_(seeds.life, seeds.secret),
-      prepared_(
-          {config.flight_sql.prepared, config.flight_sql.prepared_bytes, config.flight_sql.prepared_idle_us},
-          seeds.handles),
-      columns_(config.schemas, config.planning, config.planning_class, seeds.life, dispatcher, clock, log) {}
+      prepared_({config.flight_sql.max_prepared_statements, config.flight_sql.max_prepared_bytes,
+                 config.flight_sql.prepared_idle_timeout_us},
+                seeds.handles),
+      columns_(config.schema_cache, config.planning, config.planning_class, seeds.life, dispatcher, clock,
+               log) {}
 
 FlightSqlServer::~FlightSqlServer() = default;
 
@@ -201,9 +203,9 @@
 
 std::string FlightSqlServer::checked_statement(std::string text) const {
   if (text.empty()) wrong("the statement is empty");
-  if (text.size() > limits_.statement_bytes)
+  if (text.size() > limits_.max_statement_bytes)
     wrong("the statement has " + std::to_string(text.size()) + " bytes; " +
-          std::to_string(limits_.statement_bytes) + " are allowed");
+          std::to_string(limits_.max_statement_bytes) + " are allowed");
   return text;
 }
 
@@ -380,34 +382,34 @@
   placed.info = sql::inspect(text);
   placed.text = std::move(text);
   const std::string user = user_of(call.metadata());
-  config::RequestFacts facts;
-  facts.user = user;
-  facts.headers = &call.metadata();
-  facts.statement = &placed.info;
-  placed.chosen = config::select(selectors_, facts);
+  config::RequestAttributes attributes;
+  attributes.user = user;
+  attributes.headers = &call.metadata();
+  attributes.statement = &placed.info;
+  placed.chosen = config::classify(selectors_, attributes);
   return placed;
 }
 
 Awaitable<Columns::Told> FlightSqlServer::columns_of(CallPtr call, std::string text, bool with_parameters) {
   Placed placed = place(*call, std::move(text));
-  const int cls = placed.chosen.cls;
+  const int cls = placed.chosen.class_index;
   return columns_.tell(std::move(call), std::move(placed.text), std::move(placed.info), cls, with_parameters);
 }
 
 QueryRequest FlightSqlServer::request_of(const rpc::ServerCall& call, const Placed& placed, bool update,
                                          bool repeat) const {
-  const config::Selection& chosen = placed.chosen;
+  const config::Classification& chosen = placed.chosen;
   QueryRequest query;
-  query.class_index = chosen.cls;
+  query.class_index = chosen.class_index;
   query.tenant = chosen.tenant;
   query.key = chosen.key;
   query.table_group = chosen.table_group;
-  query.estimated_cost_us = chosen.cost_us;
-  query.estimated_memory_mb = chosen.need_mb;
+  query.estimated_cost_us = chosen.estimated_cost_us;
+  query.estimated_memory_mb = chosen.estimated_memory_mb;
   query.is_client_retry = repeat;
   query.is_write = update || placed.info.writes;
-  query.deadline = clock_.now() + (call.allowed() ? due_after(*call.allowed(), limits_.answer_margin_us)
-                                                  : classes_[chosen.cls].request_timeout_us);
+  query.deadline = clock_.now() + (call.allowed() ? due_after(*call.allowed(), limits_.response_margin_us)
+                                                  : classes_[chosen.class_index].request_timeout_us);
   return query;
 }
 
@@ -416,7 +418,7 @@
   const uint64_t serial = ticket.serial;
   Ran ran;
   size_t& open = open_by_peer_[call->peer()];
-  if (open >= limits_.open_per_connection) {
+  if (open >= limits_.max_open_requests_per_connection) {
     ran.answer.status = dispatch::RequestStatus::kRejected;
     ran.answer.reason = dispatch::CompletionReason::kConnectionLimit;
     co_return ran;
@@ -433,7 +435,7 @@
 
   const auto reply = std::make_shared<Reply>();
   if (!update && placed.info.kind == sql::StatementKind::kQuery) {
-    reply->subject = columns_.subject(placed.text, placed.info, placed.chosen.cls);
+    reply->subject = columns_.subject(placed.text, placed.info, placed.chosen.class_index);
     reply->promised = ticket.promised;
     reply->asked = columns_.moment();
   }
@@ -467,7 +469,7 @@
       const size_t size = message.size();
       if (!reply->subject.key.empty()) {
         // The first message alone shows the schema; what comes after it is none of the store's business.
-        const schemas::Subject subject = std::exchange(reply->subject, {});
+        const schemas::CachedStatement subject = std::exchange(reply->subject, {});
         reply->other_schema =
             columns_.answered(subject, message, reply->promised, reply->asked) == Columns::Seen::kOther;
       }
@@ -523,8 +525,9 @@
   for (; message; message = co_await call->read()) {
     const auto data = parse<flight::FlightData>(*message, "a message of the parameters");
     bytes += message->size();
-    if (bytes > limits_.message_bytes)
-      wrong("the parameters have more than the " + std::to_string(limits_.message_bytes) + " bytes allowed");
+    if (bytes > limits_.max_message_bytes)
+      wrong("the parameters have more than the " + std::to_string(limits_.max_message_bytes) +
+            " bytes allowed");
     if (data.data_header().empty()) continue;
     if (!schema) {
       schema = arrowipc::decode_schema(data.data_header());
--- a/src/flightsql/flight_sql_server.h
+++ b/src/flightsql/flight_sql_server.h
@@ -65,7 +65,7 @@
   struct Placed {
     std::string text;
     sql::StatementInfo info;
-    config::Selection chosen;
+    config::Classification chosen;
   };
   Placed place(const rpc::ServerCall& call, std::string text) const;
   // What a statement's columns are, as far as they are known or can be asked for.
--- a/src/nodes/node_config.cpp
+++ b/src/nodes/node_config.cpp
@@ -24,18 +24,19 @@
   Section root = Section::parse(text, file);
   NodeConfig c;
   Section node = root.table("node");
-  c.name = node.text("name");
-  c.listen = node.text("listen");
-  c.record = node.text("record", "");
-  c.heeds_grants = node.flag("grants", false);
-  c.progress_every_us = node.time("progress_every", 0);
-  c.report_every_us = node.time("report_every", c.report_every_us);
-  c.batch_bytes = node.bytes("batch_bytes", c.batch_bytes);
-  node.finish();
+  c.name = node.string("name");
+  c.listen = node.string("listen");
+  c.record = node.string("record", "");
+  c.heeds_grants = node.boolean("grants", false);
+  c.progress_every_us = node.duration("progress_every", 0);
+  c.report_every_us = node.duration("report_every", c.report_every_us);
+  c.batch_bytes = node.byte_size("batch_bytes", c.batch_bytes);
+  node.reject_unknown_keys();
   Section s = root.table("engine");
   EngineSettings& e = c.engine;
   e.cores = s.number("cores", 0.1, 10'000, e.cores);
-  e.memory_mb = static_cast<double>(s.bytes("memory", static_cast<size_t>(e.memory_mb) << 20)) / (1 << 20);
+  e.memory_mb =
+      static_cast<double>(s.byte_size("memory", static_cast<size_t>(e.memory_mb) << 20)) / (1 << 20);
   e.disks = s.number("disks", 0.1, 10'000, e.cores);
   e.sessions_per_core = s.number("sessions_per_core", 0.01, 10'000, e.sessions_per_core);
   e.peak_threads = s.number("peak_threads", 0.1, 100, e.peak_threads);
@@ -43,20 +44,20 @@
   e.warm_saves = s.number("warm_saves", 0, 1, e.warm_saves);
   e.spill_cost = s.number("spill_cost", 1, 1000, e.spill_cost);
   e.cold_from = s.number("cold_from", 0.01, 1, e.cold_from);
-  e.warm_after_us = s.time("warm_after", 0);
+  e.warm_after_us = s.duration("warm_after", 0);
   e.fall_multiple = s.number("fall_multiple", 0, 1000, 0);
-  e.fall_us = s.time("fall_after", 0);
-  s.finish();
+  e.fall_us = s.duration("fall_after", 0);
+  s.reject_unknown_keys();
   for (Section& f : root.tables("fault")) {
     Fault fault;
-    fault.kind = f.word<FaultKind>("kind", fault_words(), std::nullopt);
-    fault.from_us = f.time("from");
-    fault.for_us = f.time("for");
+    fault.kind = f.one_of<FaultKind>("kind", fault_words(), std::nullopt);
+    fault.from_us = f.duration("from");
+    fault.for_us = f.duration("for");
     fault.value = f.number("value", 0.001, 1000, 1);
-    f.finish();
+    f.reject_unknown_keys();
     c.faults.push_back(fault);
   }
-  root.finish();
+  root.reject_unknown_keys();
   return c;
 }
 
@@ -100,7 +101,7 @@
     const std::string_view key = item.substr(0, eq);
     const std::string_view value = item.substr(eq + 1);
     if (key == "work")
-      hint.work_us = static_cast<double>(config::parse_time(value).value_or(5'000));
+      hint.work_us = static_cast<double>(config::parse_duration(value).value_or(5'000));
     else if (key == "threads")
       read(value, 0.1, 1000.0, hint.threads);
     else if (key == "io")
@@ -116,7 +117,7 @@
     else if (key == "valid_at")
       hint.valid_at = value;
     else if (key == "plan")
-      hint.plan_us = static_cast<double>(config::parse_time(value).value_or(2'000));
+      hint.plan_us = static_cast<double>(config::parse_duration(value).value_or(2'000));
     else if (key == "plan_mishap")
       hint.plan_mishap = mishap_named(value);
     else if (key == "on_attempt")
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -46,8 +46,8 @@
 GatewayCore::GatewayCore(const config::GatewayConfig& config, const GatewaySeeds& seeds,
                          const GatewayPorts& ports)
     : first_nodes_(config.engines),
-      nodes_({config.name + "/" + hex(seeds.start), config.flight_sql.dial_timeout_us,
-              config.flight_sql.node_connections},
+      nodes_({config.name + "/" + hex(seeds.start), config.flight_sql.connect_timeout_us,
+              config.flight_sql.connections_per_engine},
              ports.executor, ports.channels, [this](EngineId id) { return directory_.address(id); }) {
   if (ports.wrap_nodes) wrapped_ = ports.wrap_nodes(nodes_);
   dispatch::EndpointSource* lists = ports.lists;
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -9,7 +9,7 @@
 
 rpc::GrpcClientOptions client_options(const config::FlightSqlLimits& limits) {
   rpc::GrpcClientOptions options;
-  options.max_message_bytes = static_cast<int>(limits.message_bytes);
+  options.max_message_bytes = static_cast<int>(limits.max_message_bytes);
   return options;
 }
 
@@ -25,8 +25,8 @@
           GatewayPorts{loop_.executor(), loop_, channels_, *log_, nullptr, {}})) {
   loop_.run([this] { core_->start(); });
   rpc::GrpcServerOptions options;
-  options.address = config_.listen;
-  options.max_message_bytes = static_cast<int>(config_.flight_sql.message_bytes);
+  options.address = config_.listen_address;
+  options.max_message_bytes = static_cast<int>(config_.flight_sql.max_message_bytes);
   try {
     server_ = std::make_unique<rpc::GrpcServer>(
         options, loop_,
@@ -36,7 +36,7 @@
     throw;
   }
   log_->info("started", {{"name", config_.name},
-                         {"listen", config_.listen},
+                         {"listen", config_.listen_address},
                          {"port", std::to_string(server_->port())},
                          {"nodes", std::to_string(config_.engines.size())}});
 }
@@ -74,16 +74,16 @@
   constexpr TimeUs kFlushUs = 500'000;  // for answers that are still on their way out
   server_->shutdown(all ? kFlushUs : 0);
   inspect([this](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& front) {
-    const schemas::Store::Counts& known = front.columns().store().counts();
-    const schemas::Planning::Counts& plans = front.columns().planning().counts();
-    log_->info("columns", {{"asked", std::to_string(plans.asked)},
+    const schemas::SchemaCache::Counts& known = front.columns().store().counts();
+    const schemas::PlanningCoordinator::Counts& plans = front.columns().planning().counts();
+    log_->info("columns", {{"asked", std::to_string(plans.lookups)},
                            {"known", std::to_string(known.hits)},
                            {"unknown", std::to_string(known.misses)},
                            {"plans", std::to_string(plans.calls)},
                            {"shared", std::to_string(plans.shared)},
                            {"over_budget", std::to_string(plans.over_budget)},
-                           {"too_many", std::to_string(plans.too_many)},
-                           {"learned", std::to_string(known.learned)},
+                           {"too_many", std::to_string(plans.over_capacity)},
+                           {"learned", std::to_string(known.inserted)},
                            {"changed", std::to_string(front.columns().changed())}});
   });
   log_->info("stopped", {{"all_ended", all ? "true" : "false"}});
--- a/src/sim/defects.cpp
+++ b/src/sim/defects.cpp
@@ -187,7 +187,8 @@
   if (defect_ == Defect::kBudgetIgnored) s.retry_budget_enabled = false;
   if (defect_ == Defect::kColdIgnored)
     s.collapse_window_us = 0, s.slow_start_min_capacity_fraction = 1, s.slow_start_duration_us = 0;
-  if (defect_ == Defect::kPlanUnbounded) config->planning.free = config->planning.at_once = 1'000'000;
+  if (defect_ == Defect::kPlanUnbounded)
+    config->planning.budget_base_calls = config->planning.max_concurrent_calls = 1'000'000;
   spoil(&config->engines);
 }
 
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Observer::Observer(World& world, audit::AuditSettings settings, const schemas::PlanningLimits& planning,
+Observer::Observer(World& world, audit::AuditSettings settings, const schemas::PlanningSettings& planning,
                    int planning_class)
     : world_(world), rules_(std::move(settings)), planning_(planning), planning_class_(planning_class) {}
 
@@ -87,10 +87,11 @@
   Plans& plans = plans_[gateway];
   const auto within = [&](const std::deque<TimeUs>& times) {
     return std::count_if(times.begin(), times.end(),
-                         [&](TimeUs at) { return at > now - planning_.window_us; });
+                         [&](TimeUs at) { return at > now - planning_.budget_window_us; });
   };
   plans.made.push_back(now);
-  const double allowed = planning_.free + planning_.per_statement * static_cast<double>(within(plans.asked));
+  const double allowed = planning_.budget_base_calls +
+                         planning_.budget_calls_per_statement * static_cast<double>(within(plans.asked));
   if (static_cast<double>(within(plans.made)) > allowed && !jumped_.contains(gateway))
     broken(gateway + " made " + std::to_string(within(plans.made)) + " planning calls in a window; " +
            std::to_string(allowed) + " were allowed");
@@ -100,7 +101,7 @@
   c.cls = planning_class_;
   c.asked_work_us = kPlanWorkUs;
   c.asked_at = now;
-  c.due_at = now + planning_.time_us;
+  c.due_at = now + planning_.call_timeout_us;
   asked_[tag] = c;
   rules_.asked(c);
 }
--- a/src/sim/observer.h
+++ b/src/sim/observer.h
@@ -12,7 +12,7 @@
 #include "audit/rules.h"
 #include "flightsql/client.h"
 #include "nodes/recorder.h"
-#include "schemas/planning.h"
+#include "schemas/planning_coordinator.h"
 #include "sim/network.h"
 #include "sim/scenario.h"
 #include "sim/world.h"
@@ -33,7 +33,7 @@
 class Observer : public NetworkTap, public nodes::Recorder {
  public:
   // The world must outlive it. Times of the rules are the world's, so nothing is allowed for.
-  Observer(World& world, audit::AuditSettings settings, const schemas::PlanningLimits& planning,
+  Observer(World& world, audit::AuditSettings settings, const schemas::PlanningSettings& planning,
            int planning_class);
   ~Observer() override;
 
@@ -85,7 +85,7 @@
 
   World& world_;
   audit::Rules rules_;
-  const schemas::PlanningLimits planning_;
+  const schemas::PlanningSettings planning_;
   const int planning_class_;
   struct Plans {
     std::deque<TimeUs> asked, made;  // statements that clients asked about, and planning calls
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -510,7 +510,7 @@
       audit::ClientRecord c;
       c.tag = "q" + std::to_string(r.number) + "-" + std::to_string(turn);
       c.gateway = gateway_name(static_cast<int>(gateway));
-      c.cls = config_.class_named(r.cls);
+      c.cls = config_.class_index(r.cls);
       c.key = r.key;
       c.asked_work_us = r.work_us;
       c.asked_at = world_.now();
@@ -780,8 +780,8 @@
       empty(g.name, "requests", c.tracked_requests());
       empty(g.name, "requests without an answer", c.open_requests());
       empty(g.name, "bytes held", c.buffered_bytes());
-      empty(g.name, "planning calls", g.core->front().columns().planning().out());
-      empty(g.name, "clients that wait for plans", g.core->front().columns().planning().waiting());
+      empty(g.name, "planning calls", g.core->front().columns().planning().calls_in_flight());
+      empty(g.name, "clients that wait for plans", g.core->front().columns().planning().waiters());
       empty(g.name, "calls of clients", network_.running(g.listener));
       const size_t busy = g.core->node_client().busy();
       if (busy > c.outstanding_health_checks()) empty(g.name, "attempts", busy);
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -214,46 +214,46 @@
   config::Section root = config::Section::parse(text, file);
   Scenario s;
   config::Section world = root.table("world");
-  s.name = world.text("name", file);
+  s.name = world.string("name", file);
   s.seed = static_cast<uint64_t>(world.integer("seed", 0, INT64_MAX, 1));
   s.gateways = static_cast<int>(world.integer("gateways", 1, 300, s.gateways));
   s.nodes = static_cast<int>(world.integer("nodes", 1, 1000, s.nodes));
   s.zones = static_cast<int>(world.integer("zones", 1, 16, s.zones));
   s.desks = static_cast<int>(world.integer("desks", 1, 1000, s.desks));
   s.cores = world.number("cores", 1, 1000, s.cores);
-  s.length_us = world.time("length", s.length_us);
-  s.probes = world.flag("probes", s.probes);
+  s.length_us = world.duration("length", s.length_us);
+  s.probes = world.boolean("probes", s.probes);
   if (s.length_us < 3 * kSecond || s.length_us > kMost) world.fail("length", "is not from 3s to 1h");
   // So many requests drawn from the seed, besides those told one by one.
   const auto drawn = static_cast<uint64_t>(world.integer("requests", 0, 10'000'000, 0));
-  world.finish();
+  world.reject_unknown_keys();
   const Character character = character_of(s);
   for (uint64_t i = 1; i <= drawn; ++i) s.requests.push_back(make_request(s, character, i));
   uint64_t next = 1'000'000;
   for (config::Section& r : root.tables("request")) {
     RequestEvent e;
     e.number = static_cast<uint64_t>(r.integer("number", 0, INT64_MAX, static_cast<int64_t>(next++)));
-    e.at = r.time("at", 0);
+    e.at = r.duration("at", 0);
     e.desk = static_cast<int>(r.integer("desk", 0, 1000, 0));
     e.gateway = static_cast<int>(r.integer("gateway", 0, 1000, 0));
-    e.cls = r.text("class", "lookup");
+    e.cls = r.string("class", "lookup");
     if (std::find(kClasses.begin(), kClasses.end(), e.cls) == kClasses.end())
       r.fail("class", "'" + e.cls + "' is no class of the simulation");
-    e.key = r.text("key", "");
-    e.work_us = static_cast<double>(r.time("work", 10 * kMs));
+    e.key = r.string("key", "");
+    e.work_us = static_cast<double>(r.duration("work", 10 * kMs));
     e.threads = r.number("threads", 0.1, 1000, 1);
     e.memory_mb = r.number("memory", 0, 1e6, 16);
     e.rows = static_cast<int>(r.integer("rows", 0, 1'000'000, 3));
-    e.row_bytes = r.bytes("row_bytes", 16);
-    e.select = r.text("select", "*");
-    e.read_every_us = r.time("reads_every", 0);
+    e.row_bytes = r.byte_size("row_bytes", 16);
+    e.select = r.string("select", "*");
+    e.read_every_us = r.duration("reads_every", 0);
     e.stops_after = static_cast<int>(r.integer("stops_after", -1, 1'000'000, -1));
-    e.plan_mishap = r.text("plan_mishap", "");
-    e.patience_us = r.time("patience", 2 * kSecond);
-    e.leaves_after_us = r.time("leaves_after", 0);
+    e.plan_mishap = r.string("plan_mishap", "");
+    e.patience_us = r.duration("patience", 2 * kSecond);
+    e.leaves_after_us = r.duration("leaves_after", 0);
     e.tries = static_cast<int>(r.integer("tries", 1, 100, 1));
-    e.mishap = r.text("mishap", "");
-    r.finish();
+    e.mishap = r.string("mishap", "");
+    r.reject_unknown_keys();
     s.requests.push_back(std::move(e));
   }
   std::vector<std::pair<std::string, Trouble>> words;
@@ -262,16 +262,16 @@
   for (config::Section& t : root.tables("trouble")) {
     TroubleEvent e;
     e.number = static_cast<uint64_t>(t.integer("number", 0, INT64_MAX, static_cast<int64_t>(next++)));
-    e.kind = t.word<Trouble>("kind", words, std::nullopt);
-    e.at = t.time("at", 0);
-    e.how_long = t.time("for", kSecond);
+    e.kind = t.one_of<Trouble>("kind", words, std::nullopt);
+    e.at = t.duration("at", 0);
+    e.how_long = t.duration("for", kSecond);
     e.target = static_cast<int>(t.integer("target", 0, 100'000, 0));
     e.second = static_cast<int>(t.integer("second", 0, 100'000, 0));
     e.value = t.number("value", 0, 1e9, 0);
-    t.finish();
+    t.reject_unknown_keys();
     s.troubles.push_back(e);
   }
-  root.finish();
+  root.reject_unknown_keys();
   return s;
 }
 
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Configurations: what is good is read, what is wrong is named with file, line and key.
+// Configurations: valid ones are read, errors name file, line and key.
 #include <gtest/gtest.h>
 
 #include "config/gateway_config.h"
@@ -78,21 +78,21 @@
 started_us = 1700000000000000
 )";
 
-TEST(Config, ReadsAllOfIt) {
-  const GatewayConfig c = parse_gateway_config(kGood, "desk.toml");
-  EXPECT_EQ(c.name, "desk-1");
-  EXPECT_EQ(c.settings.zone, 1);
-  EXPECT_EQ(c.settings.gateway_count, 3);
-  EXPECT_EQ(c.dispatcher.max_open_requests, 50u);
-  EXPECT_EQ(c.dispatcher.response_buffer_bytes, 65536u);
-  EXPECT_EQ(c.settings.drain_grace_us, 500'000);
-  EXPECT_TRUE(c.settings.retry_budget_enabled);
-  EXPECT_EQ(c.settings.engine_type_cores, std::vector<double>{8});
-  EXPECT_EQ(c.settings.engine_type_memory_mb, std::vector<double>{16384});
-  EXPECT_EQ(c.settings.classes.at(0).request_timeout_us, 7'500'000);
-  EXPECT_EQ(c.settings.classes.at(1).idempotency, Idempotency::kNotIdempotent);
-  EXPECT_EQ(c.settings.classes.at(1).allowed_zones, std::vector<int>{0});
-  EXPECT_EQ(c.engines.at(1).state, EndpointState::kDraining);
+TEST(GatewayConfig, ValidText_IsReadCompletely) {
+  const GatewayConfig config = parse_gateway_config(kGood, "desk.toml");
+  EXPECT_EQ(config.name, "desk-1");
+  EXPECT_EQ(config.settings.zone, 1);
+  EXPECT_EQ(config.settings.gateway_count, 3);
+  EXPECT_EQ(config.dispatcher.max_open_requests, 50u);
+  EXPECT_EQ(config.dispatcher.response_buffer_bytes, 65536u);
+  EXPECT_EQ(config.settings.drain_grace_us, 500'000);
+  EXPECT_TRUE(config.settings.retry_budget_enabled);
+  EXPECT_EQ(config.settings.engine_type_cores, std::vector<double>{8});
+  EXPECT_EQ(config.settings.engine_type_memory_mb, std::vector<double>{16384});
+  EXPECT_EQ(config.settings.classes.at(0).request_timeout_us, 7'500'000);
+  EXPECT_EQ(config.settings.classes.at(1).idempotency, Idempotency::kNotIdempotent);
+  EXPECT_EQ(config.settings.classes.at(1).allowed_zones, std::vector<int>{0});
+  EXPECT_EQ(config.engines.at(1).state, EndpointState::kDraining);
 }
 
 std::string error_of(std::string text, const std::string& from = "", const std::string& to = "") {
@@ -109,9 +109,9 @@
   return "";
 }
 
-TEST(Config, ErrorsNameFileLineAndKey) {
+TEST(GatewayConfig, InvalidText_NamesFileLineAndKey) {
   EXPECT_EQ(error_of(kGood, "instances = 3", "instances = \"three\""),
-            "desk.toml:4: gateway.instances: must be an integer, not a text");
+            "desk.toml:4: gateway.instances: must be an integer, not a string");
   EXPECT_EQ(error_of(kGood, "instances = 3", "instants = 3"),
             "desk.toml:5: gateway.index: 1 is not from 0 to 0");
   EXPECT_EQ(error_of(kGood, "max_open = 50", "max_opne = 50"),
@@ -121,36 +121,36 @@
   EXPECT_EQ(error_of(kGood, "drain_grace = \"500ms\"", "drain_grace = 500"),
             "desk.toml:11: rules.drain_grace: must be a time such as \"250ms\" or \"1.5s\"");
   EXPECT_EQ(error_of(kGood, "drain_grace = \"500ms\"", "drain_grace = \"100ms\""),
-            "desk.toml:11: rules.drain_grace: must not be under limits.dial_timeout");
+            "desk.toml:11: rules.drain_grace: must be at least limits.dial_timeout");
   EXPECT_EQ(error_of(kGood, "budget_window = \"10s\"", "budget_window = \"250ms\"").substr(14),
-            "rules.budget_window: must be over limits.dial_timeout");
+            "rules.budget_window: must be greater than limits.dial_timeout");
   EXPECT_EQ(error_of(kGood, "zone = \"west\"", "zone = \"north\""),
             "desk.toml:6: gateway.zone: 'north' isn't configured");
   EXPECT_EQ(error_of(kGood, "repeat = \"unsafe\"", "repeat = \"maybe\""),
-            "desk.toml:32: class[1].repeat: 'maybe' is none of: safe, keyed, unsafe");
+            "desk.toml:32: class[1].repeat: 'maybe' is not one of: safe, keyed, unsafe");
   EXPECT_EQ(error_of(kGood, "class = \"load\"", "class = \"loads\""),
             "desk.toml:51: select[0].class: 'loads' isn't configured");
   EXPECT_EQ(error_of(kGood, "name = \"n2\"", "name = \"n1\""),
-            "desk.toml:64: node[1].name: 'n1' stands twice");
+            "desk.toml:64: node[1].name: 'n1' is used more than once");
   EXPECT_EQ(error_of(kGood, "address = \"127.0.0.1:5002\"", "address = \"127.0.0.1:5001\""),
-            "desk.toml:65: node[1].address: '127.0.0.1:5001' stands twice");
+            "desk.toml:65: node[1].address: '127.0.0.1:5001' is used more than once");
   EXPECT_EQ(error_of("[gateway]\nname = \n").substr(0, 12), "desk.toml:2:");
   EXPECT_NE(error_of("[gateway]\nname = \"x\"\n").find("at least one [[class]]"), std::string::npos);
   EXPECT_NE(error_of(kGood, "[rules]", "[[rules]]").find("must be a table"), std::string::npos);
 }
 
-TEST(Config, TimesAndSizes) {
-  EXPECT_EQ(parse_time("20us"), 20);
-  EXPECT_EQ(parse_time("1.5s"), 1'500'000);
-  EXPECT_EQ(parse_time("2m"), 120'000'000);
-  EXPECT_FALSE(parse_time("5"));
-  EXPECT_FALSE(parse_time("-5s"));
-  EXPECT_FALSE(parse_time("5 s"));
-  EXPECT_FALSE(parse_time("nans"));
-  EXPECT_FALSE(parse_time("1e300s"));
+TEST(ParseDuration, OnlyNumbersWithUnits_AreRead) {
+  EXPECT_EQ(parse_duration("20us"), 20);
+  EXPECT_EQ(parse_duration("1.5s"), 1'500'000);
+  EXPECT_EQ(parse_duration("2m"), 120'000'000);
+  EXPECT_FALSE(parse_duration("5"));
+  EXPECT_FALSE(parse_duration("-5s"));
+  EXPECT_FALSE(parse_duration("5 s"));
+  EXPECT_FALSE(parse_duration("nans"));
+  EXPECT_FALSE(parse_duration("1e300s"));
 }
 
-TEST(Config, NodesHaveTheirOwn) {
+TEST(NodeConfig, EngineAndFaults_AreRead) {
   const nodes::NodeConfig n = nodes::parse_node_config(
       "[node]\nname = \"n\"\nlisten = \"127.0.0.1:0\"\n[engine]\ncores = 4\n[[fault]]\nkind = \"hang\"\nfrom "
       "= "
@@ -161,52 +161,54 @@
   EXPECT_THROW(nodes::parse_node_config("[node]\nname = \"n\"\n", "n.toml"), ConfigError);
 }
 
-class Select : public testing::Test {
+class Classify : public testing::Test {
  protected:
-  Selection of(const std::string& sql, const std::string& user = "",
-               std::vector<std::pair<std::string, std::string>> headers = {}) {
+  Classification classify_statement(const std::string& sql, const std::string& user = "",
+                                    const std::vector<std::pair<std::string, std::string>>& headers = {}) {
     const sql::StatementInfo info = sql::inspect(sql);
-    RequestFacts facts;
-    facts.user = user;
-    facts.headers = &headers;
-    facts.statement = &info;
-    return select(config_.selectors, facts);
+    RequestAttributes request;
+    request.user = user;
+    request.headers = &headers;
+    request.statement = &info;
+    return classify(config_.selectors, request);
   }
   GatewayConfig config_ = parse_gateway_config(kGood, "desk.toml");
 };
 
-TEST_F(Select, FirstMatchWinsAndAllConditionsMustHold) {
-  EXPECT_EQ(of("INSERT INTO gallery VALUES (1)").cls, 1);
-  EXPECT_EQ(of("SELECT 1", "officer-7").by, nullptr);
-  const Selection s = of("SELECT 1", "officer-7", {{"x-desk", "archive-2"}});
-  ASSERT_NE(s.by, nullptr);
-  EXPECT_EQ(s.by->name, "officers");
-  EXPECT_EQ(s.tenant, 1);
+TEST_F(Classify, FirstSelectorWithAllConditions_Decides) {
+  EXPECT_EQ(classify_statement("INSERT INTO gallery VALUES (1)").class_index, 1);
+  EXPECT_EQ(classify_statement("SELECT 1", "officer-7").matched_selector, nullptr);
+  const Classification result = classify_statement("SELECT 1", "officer-7", {{"x-desk", "archive-2"}});
+  ASSERT_NE(result.matched_selector, nullptr);
+  EXPECT_EQ(result.matched_selector->name, "officers");
+  EXPECT_EQ(result.tenant, 1);
 }
 
-TEST_F(Select, WhatNothingMatchesGetsTheDefaultClass) {
-  const Selection s = of("no statement at all, \x01");
-  EXPECT_EQ(s.cls, 0);
-  EXPECT_EQ(s.tenant, 0);
-  EXPECT_EQ(s.key, 0u);
-  EXPECT_EQ(s.table_group, -1);
+TEST_F(Classify, NoMatch_GivesTheDefaultClass) {
+  const Classification result = classify_statement("no statement at all, \x01");
+  EXPECT_EQ(result.class_index, 0);
+  EXPECT_EQ(result.tenant, 0);
+  EXPECT_EQ(result.key, 0u);
+  EXPECT_EQ(result.table_group, -1);
 }
 
-TEST_F(Select, HeadersCarryTenantKeyAndCost) {
-  const Selection s = of("SELECT * FROM main.gallery", "",
+TEST_F(Classify, Headers_GiveTenantKeyAndCost) {
+  const Classification result =
+      classify_statement("SELECT * FROM main.gallery", "",
                          {{"x-tenant", "officers"}, {"x-order-key", "desk 4"}, {"x-cost-us", "2500"}});
-  EXPECT_EQ(s.tenant, 1);
-  EXPECT_NE(s.key, 0u);
-  EXPECT_EQ(s.cost_us, 2500);
-  EXPECT_EQ(s.table_group, 7);
-  EXPECT_EQ(of("SELECT 1", "", {{"x-order-key", "desk 4"}}).key, s.key);
-  EXPECT_FALSE(of("SELECT 1", "", {{"x-cost-us", "a lot"}}).cost_us);
-  EXPECT_FALSE(of("SELECT 1", "", {{"x-cost-us", "inf"}}).cost_us);
+  EXPECT_EQ(result.tenant, 1);
+  EXPECT_NE(result.key, 0u);
+  EXPECT_EQ(result.estimated_cost_us, 2500);
+  EXPECT_EQ(result.table_group, 7);
+  EXPECT_EQ(classify_statement("SELECT 1", "", {{"x-order-key", "desk 4"}}).key, result.key);
+  EXPECT_FALSE(classify_statement("SELECT 1", "", {{"x-cost-us", "a lot"}}).estimated_cost_us);
+  EXPECT_FALSE(classify_statement("SELECT 1", "", {{"x-cost-us", "inf"}}).estimated_cost_us);
 }
 
-TEST(Directory, KeepsIdsAndNeverGivesThemTwice) {
+TEST(EndpointRegistry, ReplacedEndpoints_KeepTheirIds_NewOnesGetUnusedIds) {
   membership::EndpointRegistry d;
-  EngineConfig a, b;
+  EngineConfig a;
+  EngineConfig b;
   a.name = "a";
   a.address = "h:1";
   b.name = "b";
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -116,7 +116,7 @@
     channels_ = std::make_unique<rpc::GrpcChannelFactory>(rpc::GrpcClientOptions{}, *loop_);
     config_ = config::parse_gateway_config(kClasses, "test");
     config_.name = "g";
-    config_.listen = "127.0.0.1:0";
+    config_.listen_address = "127.0.0.1:0";
     config_.log_level = "error";
   }
   void TearDown() override {
@@ -169,7 +169,7 @@
     r.tag = tag;
     r.gateway = "g";
     for (const auto& [key, value] : o.headers) {
-      if (key == "x-class") r.cls = config_.class_named(value);
+      if (key == "x-class") r.cls = config_.class_index(value);
       if (key == "x-order-key") r.key = value;
     }
     o.cancel = cancel_;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -378,7 +378,7 @@
   gateway_.reset();  // breaks everything off
   EXPECT_NE(held.get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded) == 1; }));
-  config_.listen = "127.0.0.1:" + std::to_string(port);
+  config_.listen_address = "127.0.0.1:" + std::to_string(port);
   start();
   EXPECT_EQ(send("SELECT 1", "again", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   const QueryResult r = spawn(client_->fetch(old.ticket, options(5 * kSecond))).get();
@@ -391,7 +391,7 @@
   roomy.engine.sessions_per_core = 1e4;
   add_node(roomy);
   add_node(roomy);
-  config_.flight_sql.open_per_connection = 6'000;
+  config_.flight_sql.max_open_requests_per_connection = 6'000;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 5'000; ++i)
@@ -418,7 +418,7 @@
 
 TEST_F(Loopback, AConnectionMayHoldOnlySoMany) {
   add_node();
-  config_.flight_sql.open_per_connection = 3;
+  config_.flight_sql.max_open_requests_per_connection = 3;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 3; ++i)
@@ -569,8 +569,8 @@
 
 TEST_F(BadInput, IsNamedAndHurtsNobodyElse) {
   add_node();
-  config_.flight_sql.statement_bytes = 1000;
-  config_.flight_sql.message_bytes = 64 << 10;
+  config_.flight_sql.max_statement_bytes = 1000;
+  config_.flight_sql.max_message_bytes = 64 << 10;
   start();
   expect(call("GetFlightInfo", "\xff\xff\xff"), Code::kInvalidArgument,
          "the request is no valid FlightDescriptor");
@@ -680,7 +680,7 @@
 TEST_F(Loopback, APortInUseIsAnError) {
   add_node();
   start();
-  config_.listen = "127.0.0.1:" + std::to_string(gateway_->port());
+  config_.listen_address = "127.0.0.1:" + std::to_string(gateway_->port());
   EXPECT_THROW(service::GatewayService(config_, system_), rpc::ListenError);
 }
 
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -31,10 +31,10 @@
     plan.late_weight_fraction = 0.5;
     config_.settings.classes.push_back(plan);
     config_.class_names.emplace_back("plan");
-    config_.planning.on = true;
-    config_.planning.free = 10'000;
-    config_.planning.at_once = 1'000;
-    config_.planning_class = config_.class_named("plan");
+    config_.planning.enabled = true;
+    config_.planning.budget_base_calls = 10'000;
+    config_.planning.max_concurrent_calls = 1'000;
+    config_.planning_class = config_.class_index("plan");
   }
 
   Reply call(const std::string& method, std::string message, Client* client = nullptr) {
@@ -131,8 +131,8 @@
       if (e.kind == NodeEvent::Kind::kArrived && e.tag.starts_with(flightsql::kPlanTag)) tags.insert(e.tag);
     return tags.size();
   }
-  schemas::Store::Counts store_counts() {
-    schemas::Store::Counts counts;
+  schemas::SchemaCache::Counts store_counts() {
+    schemas::SchemaCache::Counts counts;
     gateway_->inspect([&](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& f) {
       counts = f.columns().store().counts();
     });
@@ -283,7 +283,7 @@
 }
 
 TEST_F(Schemas, AnAnswerTeachesWhatNobodyPlanned) {
-  config_.planning.on = false;
+  config_.planning.enabled = false;
   add_node();
   start();
   const std::string sql = "SELECT id FROM gallery WHERE id = ";
@@ -364,7 +364,7 @@
   changed.engines[0].state = EndpointState::kDraining;
   gateway_->reload(changed);
   Reply r;
-  config_.planning.wait_us = kSecond;
+  config_.planning.max_wait_us = kSecond;
   const flight::FlightInfo with = info(std::string("SELECT id FROM gallery"), &r);
   EXPECT_TRUE(r.ok()) << r.end.status.message;
   EXPECT_EQ(with.schema(), "");
@@ -380,7 +380,7 @@
   config_.settings.collapse_window_us = 1500 * kMs;
   config_.settings.collapse_load_multiple = 2;
   config_.engines[0].started_at = wall();  // a gateway that starts with it takes the budget for spent
-  config_.planning.wait_us = 200 * kMs;
+  config_.planning.max_wait_us = 200 * kMs;
   start();
   Reply r;
   EXPECT_EQ(info(std::string("SELECT id FROM gallery"), &r).schema(), "");
@@ -407,8 +407,8 @@
 
 TEST_F(Schemas, APlanThatHangsHoldsNobodyForLong) {
   add_node();
-  config_.planning.wait_us = kSecond;
-  config_.planning.time_us = 3 * kSecond;
+  config_.planning.max_wait_us = kSecond;
+  config_.planning.call_timeout_us = 3 * kSecond;
   start();
   Reply r;
   const std::string sql = "SELECT id FROM gallery /*+ plan_mishap=hang */";
@@ -422,7 +422,7 @@
 
 TEST_F(Schemas, AClientThatGivesUpWhileItWaitsLeavesThePlanToTheOthers) {
   add_node();
-  config_.planning.time_us = config_.planning.wait_us = 5 * kSecond;
+  config_.planning.call_timeout_us = config_.planning.max_wait_us = 5 * kSecond;
   start();
   const std::string sql = "SELECT id, 9 FROM gallery /*+ plan=400ms */";
   auto leaver = open_client();
@@ -477,11 +477,11 @@
 
 TEST_F(Schemas, TenThousandDifferentStatementsStayWithinTheStoresBounds) {
   add_node();
-  config_.schemas.entries = 500;
-  config_.schemas.bytes = 128u << 10;
-  config_.planning.free = 50;
-  config_.planning.per_statement = 0;
-  config_.flight_sql.prepared = 20'000;
+  config_.schema_cache.max_entries = 500;
+  config_.schema_cache.max_bytes = 128u << 10;
+  config_.planning.budget_base_calls = 50;
+  config_.planning.budget_calls_per_statement = 0;
+  config_.flight_sql.max_prepared_statements = 20'000;
   start();
   for (int from = 0; from < 10'000; from += 500) {
     std::vector<std::future<Reply>> asked;
@@ -500,7 +500,7 @@
   gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer& f) {
     EXPECT_LE(f.columns().store().size(), 500u);
     EXPECT_LE(f.columns().store().bytes(), 128u << 10);
-    EXPECT_EQ(f.columns().planning().waiting(), 0u);
+    EXPECT_EQ(f.columns().planning().waiters(), 0u);
     EXPECT_EQ(c.buffered_bytes(), 0u);
   });
 }
