--- a/src/flightsql/client.cpp
+++ b/src/flightsql/client.cpp
@@ -18,7 +18,7 @@
 
 rpc::Status time_up() { return {Code::kDeadlineExceeded, "the client's time is up", ""}; }
 
-void read_end(const rpc::CallEnd& end, QueryResult& out) {
+void read_end(const rpc::CallResult& end, QueryResult& out) {
   out.status = end.status;
   out.from_gateway = end.status.ok() || !end.trailers.empty();
   const std::string_view verdict = rpc::find_value(end.trailers, kVerdictKey);
@@ -83,7 +83,7 @@
   std::string bytes = descriptor_of(command).SerializeAsString();
   co_await made->write(std::move(bytes), true);
   const std::optional<std::string> message = co_await made->read();
-  const rpc::CallEnd end = co_await made->finish();
+  const rpc::CallResult end = co_await made->finish();
   out.status = end.status;
   flight::FlightInfo info;
   if (end.status.ok() && (!message || !info.ParseFromString(*message) || info.endpoint_size() == 0))
@@ -128,7 +128,7 @@
       made->cancel();
     }
   }
-  const rpc::CallEnd end = co_await made->finish();
+  const rpc::CallResult end = co_await made->finish();
   read_end(end, out);
   if (!problem.empty()) {
     out.verdict = dispatch::RequestStatus::kFailed;
@@ -186,7 +186,7 @@
     if (put.ParseFromString(*message) && result.ParseFromString(put.app_metadata()))
       out.updated = result.record_count();
   }
-  const rpc::CallEnd end = co_await made->finish();
+  const rpc::CallResult end = co_await made->finish();
   read_end(end, out);
   co_return out;
 }
@@ -208,7 +208,7 @@
     flight::Result result;
     if (result.ParseFromString(*message)) out.bodies.push_back(result.body());
   }
-  const rpc::CallEnd end = co_await made->finish();
+  const rpc::CallResult end = co_await made->finish();
   out.status = end.status;
   co_return out;
 }
--- a/src/flightsql/columns.cpp
+++ b/src/flightsql/columns.cpp
@@ -128,8 +128,9 @@
   if (word == schemas::PlanningCoordinator::Decision::kProceedWithoutColumns) co_return told;
   const auto waiting = std::make_shared<Waiting>();
   waiting_[waiter] = waiting;
-  const TimeUs most =
-      call->allowed() ? std::min(limits_.max_wait_us, *call->allowed() / 2) : limits_.max_wait_us;
+  const TimeUs most = call->client_timeout_us()
+                          ? std::min(limits_.max_wait_us, *call->client_timeout_us() / 2)
+                          : limits_.max_wait_us;
   const std::weak_ptr<Waiting> weak = waiting;
   const auto give_up = [weak] {
     if (const auto w = weak.lock()) w->over.give();
--- a/src/flightsql/engine_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -142,7 +142,7 @@
   dispatcher_->on_attempt_completed(task->key, result);
 }
 
-Awaitable<rpc::CallEnd> FlightSqlEngineClient::relay(std::shared_ptr<Task> task) {
+Awaitable<rpc::CallResult> FlightSqlEngineClient::relay(std::shared_ptr<Task> task) {
   const std::shared_ptr<rpc::ClientCall> call = task->call;
   while (std::optional<std::string> message = co_await call->read()) {
     if (task->dropped) break;
@@ -153,7 +153,7 @@
     if (!dispatcher_->on_attempt_message(task->key, std::move(*message))) task->paused = true;
     while (task->paused && !task->dropped) co_await task->resumed.wait();
   }
-  rpc::CallEnd end;
+  rpc::CallResult end;
   if (!task->dropped) end = co_await call->finish();
   co_return end;
 }
@@ -171,7 +171,7 @@
   std::optional<std::string> message = co_await call->read();
   AttemptResult result;
   if (task->dropped) co_return result;
-  const rpc::CallEnd planned = co_await call->finish();
+  const rpc::CallResult planned = co_await call->finish();
   if (!planned.status.ok() || task->dropped) {
     result = map_call_end(planned);
     co_return result;
@@ -186,7 +186,7 @@
   task->call = call;
   bytes = info.endpoint(0).ticket().SerializeAsString();
   co_await call->write(std::move(bytes), true);
-  const rpc::CallEnd end = co_await relay(task);
+  const rpc::CallResult end = co_await relay(task);
   result = map_call_end(end);
   co_return result;
 }
@@ -202,7 +202,7 @@
   task->call = call;
   std::string bytes = data.SerializeAsString();
   co_await call->write(std::move(bytes), true);
-  const rpc::CallEnd end = co_await relay(task);
+  const rpc::CallResult end = co_await relay(task);
   AttemptResult result = map_call_end(end);
   co_return result;
 }
@@ -233,7 +233,7 @@
   const std::optional<std::string> message = co_await call->read();
   AttemptResult result;
   if (task->dropped) co_return result;
-  const rpc::CallEnd end = co_await call->finish();
+  const rpc::CallResult end = co_await call->finish();
   result = map_call_end(end);
   if (!end.status.ok() || task->dropped) co_return result;
   wire::Plan found;
@@ -298,7 +298,7 @@
   std::string question = descriptor_of(fsql::CommandGetSqlInfo()).SerializeAsString();
   co_await call->write(std::move(question), true);
   co_await call->read();
-  const rpc::CallEnd end = co_await call->finish();
+  const rpc::CallResult end = co_await call->finish();
   const AttemptResult result = map_call_end(end);
   // A server that doesn't know the question is alive.
   const Outcome outcome = result.is_statement_error ? Outcome::kOk : result.outcome;
--- a/src/flightsql/engine_client.h
+++ b/src/flightsql/engine_client.h
@@ -74,7 +74,7 @@
                                                const dispatch::AttemptSpec& order);
   rpc::Awaitable<void> forget_prepared(std::shared_ptr<rpc::Channel> channel, std::string handle);
   // Hands the answer's messages on until there are no more.
-  rpc::Awaitable<rpc::CallEnd> relay(std::shared_ptr<Task> task);
+  rpc::Awaitable<rpc::CallResult> relay(std::shared_ptr<Task> task);
   rpc::Metadata metadata(dispatch::AttemptId key, const dispatch::AttemptSpec& order) const;
 
   const FlightSqlEngineClientOptions options_;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -408,8 +408,9 @@
   query.estimated_memory_mb = chosen.estimated_memory_mb;
   query.is_client_retry = repeat;
   query.is_write = update || placed.info.writes;
-  query.deadline = clock_.now() + (call.allowed() ? due_after(*call.allowed(), limits_.response_margin_us)
-                                                  : classes_[chosen.class_index].request_timeout_us);
+  query.deadline = clock_.now() + (call.client_timeout_us()
+                                       ? due_after(*call.client_timeout_us(), limits_.response_margin_us)
+                                       : classes_[chosen.class_index].request_timeout_us);
   return query;
 }
 
--- a/src/flightsql/terms.cpp
+++ b/src/flightsql/terms.cpp
@@ -118,7 +118,7 @@
   return out;
 }
 
-dispatch::AttemptResult map_call_end(const rpc::CallEnd& end) {
+dispatch::AttemptResult map_call_end(const rpc::CallResult& end) {
   dispatch::AttemptResult out;
   const NodeReport report = decode_report(rpc::find_value(end.trailers, kLoadReportKey));
   out.load_report = report.load;
--- a/src/flightsql/terms.h
+++ b/src/flightsql/terms.h
@@ -83,7 +83,7 @@
 
 // How an attempt's call ended, as an outcome. Proof that nothing ran is only a node's own NOT_ADMITTED; where
 // no connection was had there is no call.
-dispatch::AttemptResult map_call_end(const rpc::CallEnd& end);
+dispatch::AttemptResult map_call_end(const rpc::CallResult& end);
 
 // The final answer as the client's call sees it.
 struct ClientEnd {
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -134,7 +134,8 @@
     if (rest > 0) co_await pause(clock_, rest);
     if (!dials()) co_return;
     rest = std::clamp(rest * 2, kFirstPauseUs, kMostPauseUs);
-    const std::shared_ptr<rpc::ByteStream> stream = co_await net_.connect(address, kDialUs);
+    const rpc::ConnectResult connected = co_await net_.connect(address, kDialUs);
+    const std::shared_ptr<rpc::ByteStream>& stream = connected.stream;
     if (!dials()) co_return;
     if (!stream) continue;
     // From here on this connection is the one: whatever an earlier one still tells is asked for by number.
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -357,14 +357,13 @@
 
 rpc::Awaitable<void> EngineClient::run_connection(NodePtr node) {
   const std::shared_ptr<EngineClient*> self = self_;
-  rpc::ConnectEnd end = rpc::ConnectEnd::kFailed;
-  const std::shared_ptr<rpc::ByteStream> stream =
-      co_await net_.connect(node->address, options_.dial_timeout_us, &end);
+  const rpc::ConnectResult connected = co_await net_.connect(node->address, options_.dial_timeout_us);
+  const std::shared_ptr<rpc::ByteStream>& stream = connected.stream;
   if (*self == nullptr) co_return;
   --node->dialing;
   if (!stream) {
     --connections_;
-    dial_failed(node, end);
+    dial_failed(node, connected.status);
     co_return;
   }
   node->dial_pause = 0;
@@ -431,8 +430,8 @@
 
 // A refusal proves that what is still to start hasn't started. What runs may go on: a node with as many
 // connections as it bears refuses more. It has died where its connections were reset and none stands.
-void EngineClient::dial_failed(const NodePtr& node, rpc::ConnectEnd end_of_dial) {
-  const bool refused = end_of_dial == rpc::ConnectEnd::kRefused;
+void EngineClient::dial_failed(const NodePtr& node, rpc::ConnectStatus status) {
+  const bool refused = status == rpc::ConnectStatus::kRefused;
   const bool dead = refused && node->connections.empty() && node->broken;
   ++(refused ? counts_.refused : counts_.dial_timeouts);
   const auto take = [&](Kind kind) { return std::exchange(node->waiting[static_cast<int>(kind)], {}); };
--- a/src/platform/engine_client/engine_client.h
+++ b/src/platform/engine_client/engine_client.h
@@ -130,7 +130,7 @@
   void send(const NodePtr& node, const ConnectionPtr& connection, Call call);
   void close(const NodePtr& node, const ConnectionPtr& connection);
   void lost(const NodePtr& node, const ConnectionPtr& connection);
-  void dial_failed(const NodePtr& node, rpc::ConnectEnd end);
+  void dial_failed(const NodePtr& node, rpc::ConnectStatus status);
   bool make_room();
   void answered(const NodePtr& node, Call call, const http::Response& response);
   bool news(const NodePtr& node, Call& call, const http::Response& response);
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -265,14 +265,14 @@
 
 void HttpConnection::half_close() {
   enter(Stage::kHalfClosed);
-  stream_->end();
+  stream_->shutdown_write();
 }
 
 void HttpConnection::abort() {
   const bool response_in_transit =
       request_count_ > 0 && context_.clock.now() - stage_started_at_ <= kResponseDeliveryUs;
   if (response_in_transit)
-    stream_->end();
+    stream_->shutdown_write();
   else
     stream_->reset();
   close();
@@ -297,7 +297,7 @@
       return;
     case Stage::kAwaitingResult:
       // While reading is paused, nothing else notices that the client has gone.
-      if (is_reading_paused() && stream_->peer_left()) close();
+      if (is_reading_paused() && stream_->peer_closed()) close();
       return;
     case Stage::kWritingResponse:
       if (elapsed_us > kWriteTimeoutUs) close();
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -62,7 +62,7 @@
   EvictionRank eviction_rank(TimeUs now) const;
   TimeUs stage_started_at() const { return stage_started_at_; }
   bool has_unread_bytes() const { return stream_->readable(); }
-  bool is_client_disconnected() const { return stage_ == Stage::kClosed || stream_->peer_left(); }
+  bool is_client_disconnected() const { return stage_ == Stage::kClosed || stream_->peer_closed(); }
 
  private:
   enum class Stage { kReadingRequest, kAwaitingResult, kWritingResponse, kHalfClosed, kClosed };
--- a/src/rpc/asio_loop.cpp
+++ b/src/rpc/asio_loop.cpp
@@ -3,36 +3,28 @@
 namespace sablelink::rpc {
 
 AsioLoop::AsioLoop(const WallClock& wall, SteadyClock steady)
-    : steady_(std::move(steady)),
-      base_(steady_()),
-      base_us_(std::chrono::duration_cast<std::chrono::microseconds>(wall().time_since_epoch()).count()),
-      guard_(context_.get_executor()),
-      timer_(context_) {}
+    : clock_(wall, std::move(steady)), work_guard_(context_.get_executor()), timer_(context_) {}
 
-TimeUs AsioLoop::now() const {
-  return base_us_ + std::chrono::duration_cast<std::chrono::microseconds>(steady_() - base_).count();
-}
-
-void AsioLoop::call_after(TimeUs delay, std::function<void()> fn) {
-  if (delay <= 0) {
+void AsioLoop::call_after(TimeUs delay_us, std::function<void()> fn) {
+  if (delay_us <= 0) {
     boost::asio::post(context_, std::move(fn));
     return;
   }
-  timers_.push(now() + delay, std::move(fn));
-  arm();
+  timers_.push(now() + delay_us, std::move(fn));
+  arm_timer();
 }
 
-void AsioLoop::arm() {
+void AsioLoop::arm_timer() {
   if (timers_.empty()) return;
-  const TimeUs first = timers_.next_at();
-  if (armed_for_ != 0 && armed_for_ <= first) return;
-  armed_for_ = first;
-  timer_.expires_at(base_ + std::chrono::microseconds(first - base_us_));
+  const TimeUs earliest = timers_.next_at();
+  if (armed_for_ && *armed_for_ <= earliest) return;
+  armed_for_ = earliest;
+  timer_.expires_at(clock_.to_steady(earliest));
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (error) return;  // armed anew, for an earlier call
-    armed_for_ = 0;
+    if (error) return;  // armed again, for an earlier moment
+    armed_for_.reset();
     timers_.call_due(now());
-    arm();
+    arm_timer();
   });
 }
 
--- a/src/rpc/completion_tag.h
+++ b/src/rpc/completion_tag.h
@@ -1,5 +1,5 @@
-// From gRPC's completion queue to coroutines: what waits for an operation is called where its completion is
-// taken from the queue, on the loop's thread.
+// Connects gRPC's completion queue with coroutines: a coroutine that awaits an operation is resumed on the
+// loop's thread, where the operation's completion is taken from the queue.
 #pragma once
 
 #include <grpcpp/support/byte_buffer.h>
@@ -17,81 +17,90 @@
 
 namespace sablelink::rpc {
 
-// What is given to the queue as tag. One of complete() and abandon() runs, once, and frees the tag: on the
-// loop's thread, or where that has ended on the one that ends the loop.
-class Tag {
+/// Identifies an operation in the completion queue. Exactly one of complete() and abandon() is called, and
+/// destroys the tag: on the loop's thread, or, where that has ended, on the thread that destroys the loop.
+class CompletionTag {
  public:
-  virtual ~Tag() = default;
+  virtual ~CompletionTag() = default;
+  /// ok: as gRPC defines it for the operation.
   virtual void complete(bool ok) = 0;
-  virtual void abandon() { delete this; }  // the loop ends: whoever waits is dropped
+  /// The loop is destroyed; whoever awaits the operation is dropped.
+  virtual void abandon() { delete this; }
 
-  // Around the time in which gRPC has the tag. gRPC hands it from thread to thread by means that the thread
-  // sanitizer doesn't see in a library built without it; this pair shows it the order.
-  Tag* give_out() {
-    handed_.store(true, std::memory_order_release);
+  // gRPC hands a tag from thread to thread in ways that the thread sanitizer doesn't see in a library built
+  // without it. This pair, called before gRPC gets the tag and after it returns it, shows it the order.
+  CompletionTag* hand_to_grpc() {
+    handed_over_.store(true, std::memory_order_release);
     return this;
   }
-  Tag* take_back() {
-    handed_.load(std::memory_order_acquire);
+  CompletionTag* take_from_grpc() {
+    handed_over_.load(std::memory_order_acquire);
     return this;
   }
 
  private:
-  std::atomic<bool> handed_{false};
+  std::atomic<bool> handed_over_{false};
 };
 
-// A tag that calls fn.
-template <typename Fn>
-class FnTag : public Tag {
+/// Calls a function with the operation's ok.
+template <typename Callback>
+class CallbackTag : public CompletionTag {
  public:
-  explicit FnTag(Fn fn) : fn_(std::move(fn)) {}
+  explicit CallbackTag(Callback callback) : callback_(std::move(callback)) {}
   void complete(bool ok) override {
-    Fn fn = std::move(fn_);
+    Callback callback = std::move(callback_);
     delete this;
-    fn(ok);
+    callback(ok);
   }
 
  private:
-  Fn fn_;
+  Callback callback_;
 };
 
-// Starts an operation with a tag and waits for its completion. keep stays alive until then. Not a coroutine
-// itself, and callers that are give start a name first: GCC 12 destroys a lambda that is a temporary of a
-// co_await expression twice.
+/// Calls start with a tag and returns the ok of the operation that it starts. owner stays alive until then.
+///
+/// Not a coroutine itself, and callers that are coroutines must name start before: GCC 12 destroys a lambda
+/// twice that is a temporary of a co_await expression.
 template <typename Start>
-Awaitable<bool> await_tag(std::shared_ptr<void> keep, Start start) {
+Awaitable<bool> await_completion(std::shared_ptr<void> owner, Start start) {
   return boost::asio::async_initiate<const boost::asio::use_awaitable_t<>, void(bool)>(
-      [keep = std::move(keep), start = std::move(start)](auto handler) mutable {
-        auto done = [keep = std::move(keep), handler = std::move(handler)](bool ok) mutable { handler(ok); };
-        start((new FnTag<decltype(done)>(std::move(done)))->give_out());
+      [owner = std::move(owner), start = std::move(start)](auto handler) mutable {
+        auto callback = [owner = std::move(owner), handler = std::move(handler)](bool ok) mutable {
+          handler(ok);
+        };
+        auto* const tag = new CallbackTag<decltype(callback)>(std::move(callback));
+        start(tag->hand_to_grpc());
       },
       boost::asio::use_awaitable);
 }
 
-inline std::string take_bytes(const grpc::ByteBuffer& buffer) {
+/// The bytes of a message; empty where the buffer is invalid.
+inline std::string to_string(const grpc::ByteBuffer& buffer) {
   std::vector<grpc::Slice> slices;
   std::string bytes;
   if (!buffer.Valid() || !buffer.Dump(&slices).ok()) return bytes;
   bytes.reserve(buffer.Length());
-  for (const grpc::Slice& slice : slices)
+  for (const grpc::Slice& slice : slices) {
     bytes.append(reinterpret_cast<const char*>(slice.begin()), slice.size());
+  }
   return bytes;
 }
 
-// The buffer takes the string over, without a copy.
-inline grpc::ByteBuffer give_bytes(std::string bytes) {
-  auto* owned = new std::string(std::move(bytes));
-  const grpc::Slice slice(
-      owned->data(), owned->size(), [](void* s) { delete static_cast<std::string*>(s); }, owned);
+/// Moves the bytes into a buffer without copying them.
+inline grpc::ByteBuffer to_byte_buffer(std::string bytes) {
+  auto* const owned = new std::string(std::move(bytes));
+  const auto release = [](void* string) { delete static_cast<std::string*>(string); };
+  const grpc::Slice slice(owned->data(), owned->size(), release, owned);
   return grpc::ByteBuffer(&slice, 1);
 }
 
-template <typename Map>
-Metadata copy_metadata(const Map& map) {
+template <typename GrpcMetadata>
+Metadata copy_metadata(const GrpcMetadata& metadata) {
   Metadata copy;
-  copy.reserve(map.size());
-  for (const auto& [key, value] : map)
+  copy.reserve(metadata.size());
+  for (const auto& [key, value] : metadata) {
     copy.emplace_back(std::string(key.data(), key.size()), std::string(value.data(), value.size()));
+  }
   return copy;
 }
 
--- a/src/rpc/grpc_client.cpp
+++ b/src/rpc/grpc_client.cpp
@@ -8,12 +8,15 @@
 
 #include <utility>
 
-#include "rpc/grpc_tags.h"
+#include "rpc/completion_tag.h"
 
 namespace sablelink::rpc {
 namespace {
 
-// The state of a call, which outlives the call's handle until all its operations are back.
+constexpr int kConnectAttemptMs = 1000;
+constexpr int kMaxBackoffFactor = 10;
+
+// Outlives the call's handle until gRPC has completed all of its operations.
 struct CallState {
   grpc::ClientContext context;
   std::unique_ptr<grpc::GenericClientAsyncReaderWriter> stream;
@@ -28,35 +31,36 @@
   }
 
   Awaitable<bool> write(std::string message, bool last) override {
-    const grpc::ByteBuffer buffer = give_bytes(std::move(message));
-    return await_tag(state_, [state = state_.get(), buffer, last](void* tag) {
-      if (last)
+    const grpc::ByteBuffer buffer = to_byte_buffer(std::move(message));
+    return await_completion(state_, [state = state_.get(), buffer, last](void* tag) {
+      if (last) {
         state->stream->WriteLast(buffer, grpc::WriteOptions(), tag);
-      else
+      } else {
         state->stream->Write(buffer, tag);
+      }
     });
   }
 
   Awaitable<std::optional<std::string>> read() override {
     const auto buffer = std::make_shared<grpc::ByteBuffer>();
     auto start = [state = state_.get(), buffer](void* tag) { state->stream->Read(buffer.get(), tag); };
-    const bool ok = co_await await_tag(state_, std::move(start));
+    const bool ok = co_await await_completion(state_, std::move(start));
     if (!ok) co_return std::nullopt;
-    co_return take_bytes(*buffer);
+    co_return to_string(*buffer);
   }
 
-  Awaitable<CallEnd> finish() override {
+  Awaitable<CallResult> finish() override {
     const std::shared_ptr<CallState> state = state_;
     const auto status = std::make_shared<grpc::Status>();
     auto start = [raw = state.get(), status](void* tag) { raw->stream->Finish(status.get(), tag); };
-    co_await await_tag(state, std::move(start));
+    co_await await_completion(state, std::move(start));
     state->finished = true;
-    CallEnd end;
-    end.status.code = static_cast<Code>(status->error_code());
-    end.status.message = status->error_message();
-    end.status.details = status->error_details();
-    end.trailers = copy_metadata(state->context.GetServerTrailingMetadata());
-    co_return end;
+    CallResult result;
+    result.status.code = static_cast<Code>(status->error_code());
+    result.status.message = status->error_message();
+    result.status.details = status->error_details();
+    result.trailers = copy_metadata(state->context.GetServerTrailingMetadata());
+    co_return result;
   }
 
   void cancel() override { state_->context.TryCancel(); }
@@ -70,8 +74,8 @@
   GrpcChannel(std::shared_ptr<grpc::Channel> channel, GrpcLoop& loop)
       : channel_(std::move(channel)), stub_(channel_), loop_(loop) {}
 
-  Awaitable<bool> connect(TimeUs within) override {
-    const auto deadline = loop_.wall()() + std::chrono::microseconds(within);
+  Awaitable<bool> connect(TimeUs timeout_us) override {
+    const auto deadline = loop_.wall()() + std::chrono::microseconds(timeout_us);
     const std::shared_ptr<grpc::Channel> channel = channel_;
     grpc_connectivity_state state = channel->GetState(true);
     while (state != GRPC_CHANNEL_READY) {
@@ -79,20 +83,22 @@
       auto start = [raw = channel.get(), state, deadline, queue = loop_.queue()](void* tag) {
         raw->NotifyOnStateChange(state, deadline, queue, tag);
       };
-      const bool changed = co_await await_tag(channel, std::move(start));
+      const bool changed = co_await await_completion(channel, std::move(start));
       if (!changed) co_return false;
       state = channel->GetState(true);
     }
     co_return true;
   }
 
-  std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs allow) override {
+  std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs timeout_us) override {
     auto state = std::make_shared<CallState>();
     for (const auto& [key, value] : metadata) state->context.AddMetadata(key, value);
     state->context.set_initial_metadata_corked(true);  // goes out with the first message
-    if (allow > 0) state->context.set_deadline(loop_.wall()() + std::chrono::microseconds(allow));
+    if (timeout_us > 0) {
+      state->context.set_deadline(loop_.wall()() + std::chrono::microseconds(timeout_us));
+    }
     state->stream = stub_.PrepareCall(&state->context, method, loop_.queue());
-    state->stream->StartCall(nullptr);  // corked: nothing is sent yet, and the tag doesn't come back
+    state->stream->StartCall(nullptr);  // no tag is returned, as nothing is sent yet
     return std::make_unique<GrpcClientCall>(std::move(state));
   }
 
@@ -111,13 +117,14 @@
   grpc::ChannelArguments args;
   args.SetMaxReceiveMessageSize(options_.max_message_bytes);
   args.SetMaxSendMessageSize(-1);
-  args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);  // whether a call may be repeated is not gRPC's to decide
+  args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);             // retries are decided elsewhere
   args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // channels share no connections
-  const int pause_ms = static_cast<int>(options_.reconnect_after_us / 1000);
-  args.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, pause_ms);
-  args.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, 1000);  // in truth: how long one connection may take
-  args.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, 10 * pause_ms);
-  args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);  // else the environment would decide
+  const int backoff_ms = static_cast<int>(options_.reconnect_backoff_us / 1000);
+  args.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, backoff_ms);
+  args.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS,
+              kConnectAttemptMs);  // gRPC limits a connection attempt by it
+  args.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxBackoffFactor * backoff_ms);
+  args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);  // or the environment would choose a proxy
   return std::make_unique<GrpcChannel>(
       grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), args), loop_);
 }
--- a/src/rpc/grpc_client.h
+++ b/src/rpc/grpc_client.h
@@ -1,4 +1,4 @@
-// Channels to servers, on gRPC.
+// Channels to servers on gRPC, without encryption.
 #pragma once
 
 #include <memory>
@@ -11,10 +11,10 @@
 
 struct GrpcClientOptions {
   int max_message_bytes = 16 << 20;
-  TimeUs reconnect_after_us = 100'000;  // pause after a connection that failed; grows to ten times this
+  TimeUs reconnect_backoff_us = 100'000;  // after a failed connection; grows to ten times this
 };
 
-// Channels of one loop, which must outlive them.
+/// Makes channels that belong to one loop, which must outlive them.
 class GrpcChannelFactory : public ChannelFactory {
  public:
   GrpcChannelFactory(const GrpcClientOptions& options, GrpcLoop& loop);
--- a/src/rpc/grpc_loop.cpp
+++ b/src/rpc/grpc_loop.cpp
@@ -3,51 +3,61 @@
 #include <grpc/support/time.h>
 #include <grpcpp/alarm.h>
 
-#include "rpc/grpc_tags.h"
+#include "rpc/completion_tag.h"
 
 namespace sablelink::rpc {
 namespace {
 
-// gRPC waits in steps of a millisecond. A call that is due sooner than this is looked for without waiting.
-constexpr TimeUs kSpinUs = 100;
+// gRPC waits in steps of a millisecond. For a call that is due sooner than this, the queue is polled without
+// waiting.
+constexpr TimeUs kBusyPollUs = 100;
 
 }  // namespace
 
+// Completes when the alarm expires, which brings the loop's thread out of its wait.
+class GrpcLoop::WakeUpTag : public CompletionTag {
+ public:
+  explicit WakeUpTag(std::atomic<bool>& pending) : pending_(pending) {}
+  void complete(bool) override {
+    pending_.store(false);
+    delete this;
+  }
+  const std::shared_ptr<grpc::Alarm>& alarm() const { return alarm_; }
+
+ private:
+  std::atomic<bool>& pending_;
+  const std::shared_ptr<grpc::Alarm> alarm_ = std::make_shared<grpc::Alarm>();
+};
+
 GrpcLoop::GrpcLoop(WallClock wall, SteadyClock steady)
     : wall_(std::move(wall)),
-      steady_(std::move(steady)),
-      base_(steady_()),
-      base_us_(std::chrono::duration_cast<std::chrono::microseconds>(wall_().time_since_epoch()).count()),
+      clock_(wall_, std::move(steady)),
       queue_(builder_.AddCompletionQueue()),
       context_(1),
-      guard_(context_.get_executor()),
-      thread_([this] { work(); }) {}
+      work_guard_(context_.get_executor()),
+      thread_([this] { run(); }) {}
 
 GrpcLoop::~GrpcLoop() {
-  ending_ = true;
-  wake();
+  stopping_ = true;
+  wake_up();
   thread_.join();
-  // Not on the thread itself, which may see the end before the waking above has come to the queue: a queue
-  // that is shut takes no alarm.
+  // Only now, as a queue that is shut down takes no alarm: the loop's thread could see stopping_ and shut the
+  // queue down before wake_up() sets the alarm.
   queue_->Shutdown();
   void* tag = nullptr;
   bool ok = false;
-  while (queue_->Next(&tag, &ok)) static_cast<Tag*>(tag)->take_back()->abandon();
-}
-
-TimeUs GrpcLoop::now() const {
-  return base_us_ + std::chrono::duration_cast<std::chrono::microseconds>(steady_() - base_).count();
+  while (queue_->Next(&tag, &ok)) static_cast<CompletionTag*>(tag)->take_from_grpc()->abandon();
 }
 
-void GrpcLoop::call_after(TimeUs delay, std::function<void()> fn) {
-  if (delay <= 0) {
+void GrpcLoop::call_after(TimeUs delay_us, std::function<void()> fn) {
+  if (delay_us <= 0) {
     boost::asio::post(context_, std::move(fn));
     return;
   }
-  timers_.push(now() + delay, std::move(fn));
+  timers_.push(now() + delay_us, std::move(fn));
 }
 
-void GrpcLoop::run(const std::function<void()>& fn) {
+void GrpcLoop::post_and_wait(const std::function<void()>& fn) {
   std::promise<void> done;
   post([&] {
     fn();
@@ -56,44 +66,33 @@
   done.get_future().wait();
 }
 
-// An alarm of gRPC's that is due at once brings the loop's thread out of its waiting. One on its way is
-// enough: the flag falls before the thread looks for posted work.
-void GrpcLoop::wake() {
-  if (waking_.exchange(true)) return;
-  class Wake : public Tag {
-   public:
-    explicit Wake(std::atomic<bool>& waking) : waking_(waking) {}
-    void complete(bool) override {
-      waking_.store(false);
-      delete this;
-    }
-    std::shared_ptr<grpc::Alarm> alarm = std::make_shared<grpc::Alarm>();
-
-   private:
-    std::atomic<bool>& waking_;
-  };
-  auto* const tag = new Wake(waking_);
-  const std::shared_ptr<grpc::Alarm> alarm = tag->alarm;  // Set() may still be in it when the tag has gone
-  alarm->Set(queue_.get(), gpr_time_0(GPR_CLOCK_MONOTONIC), tag->give_out());
+// Sets an alarm that is due at once. One at a time is enough: the flag is cleared before the loop's thread
+// looks for posted work.
+void GrpcLoop::wake_up() {
+  if (wake_up_pending_.exchange(true)) return;
+  auto* const tag = new WakeUpTag(wake_up_pending_);
+  const std::shared_ptr<grpc::Alarm> alarm = tag->alarm();  // Set() may still run when the tag is destroyed
+  alarm->Set(queue_.get(), gpr_time_0(GPR_CLOCK_MONOTONIC), tag->hand_to_grpc());
 }
 
-gpr_timespec GrpcLoop::wait() const {
+gpr_timespec GrpcLoop::time_until_next_call() const {
   if (timers_.empty()) return gpr_inf_future(GPR_CLOCK_MONOTONIC);
-  const TimeUs left = timers_.next_at() - now();
-  return gpr_time_from_micros(left <= kSpinUs ? 0 : left, GPR_TIMESPAN);
+  const TimeUs remaining_us = timers_.next_at() - now();
+  return gpr_time_from_micros(remaining_us <= kBusyPollUs ? 0 : remaining_us, GPR_TIMESPAN);
 }
 
-void GrpcLoop::work() {
+void GrpcLoop::run() {
   void* tag = nullptr;
   bool ok = false;
-  while (!ending_) {
+  while (!stopping_) {
     context_.poll();
     if (!timers_.empty()) {
       timers_.call_due(now());
       context_.poll();
     }
-    if (queue_->AsyncNext(&tag, &ok, wait()) == grpc::CompletionQueue::GOT_EVENT)
-      static_cast<Tag*>(tag)->take_back()->complete(ok);
+    if (queue_->AsyncNext(&tag, &ok, time_until_next_call()) == grpc::CompletionQueue::GOT_EVENT) {
+      static_cast<CompletionTag*>(tag)->take_from_grpc()->complete(ok);
+    }
   }
 }
 
--- a/src/rpc/grpc_loop.h
+++ b/src/rpc/grpc_loop.h
@@ -1,6 +1,6 @@
-// One thread that is a strand, its clock and gRPC's completion queue in one: it takes a completion from the
-// queue, lets coroutines run until none can go on, calls what is due, and waits again. Nothing changes
-// threads between a socket and the code that its message is for; gRPC's sockets are read by this very thread.
+// A strand, its clock and gRPC's completion queue on one thread. It takes a completion from the queue, runs
+// coroutines until none is ready, calls what is due, and waits again. gRPC's sockets are read on this thread,
+// so that nothing changes threads between a socket and the code that a message is for.
 #pragma once
 
 #include <grpcpp/completion_queue.h>
@@ -13,7 +13,6 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/use_future.hpp>
-#include <chrono>
 #include <functional>
 #include <future>
 #include <memory>
@@ -22,64 +21,65 @@
 
 #include "base/clock.h"
 #include "base/timer_heap.h"
+#include "rpc/epoch_clock.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::rpc {
 
-// now() may be called from any thread: microseconds since 1970 at the loop's making, advanced by the steady
-// clock. call_after() and all that uses the executor belong on the loop's thread; a call comes up to a
-// millisecond late, which is the step of gRPC's own waiting. Other threads come in by post() and run().
+/// now() may be called from any thread. call_after() and whatever uses the executor belong on the loop's
+/// thread; a call may be up to a millisecond late, as gRPC waits in such steps. Other threads use post(),
+/// post_and_wait() and spawn().
 class GrpcLoop : public Clock {
  public:
   GrpcLoop(WallClock wall, SteadyClock steady);
-  // Waits for every operation that gRPC still has; whatever that needs to end must have been done before.
-  // Posted work and calls that are still to come are dropped.
+  /// Waits for every operation that gRPC still has; what these need in order to complete must have been done
+  /// before. Posted work and calls that aren't due yet are dropped.
   ~GrpcLoop() override;
   GrpcLoop(const GrpcLoop&) = delete;
   GrpcLoop& operator=(const GrpcLoop&) = delete;
 
   boost::asio::any_io_executor executor() { return context_.get_executor(); }
-  TimeUs now() const override;
-  void call_after(TimeUs delay, std::function<void()> fn) override;
+  TimeUs now() const override { return clock_.now(); }
+  void call_after(TimeUs delay_us, std::function<void()> fn) override;
 
-  // Runs fn on the loop, from any other thread.
+  /// Runs fn on the loop; from any other thread.
   template <typename Fn>
   void post(Fn fn) {
     boost::asio::post(context_, std::move(fn));
-    wake();
+    wake_up();
   }
-  // The same, and waits for its end.
-  void run(const std::function<void()>& fn);
-  // Starts a coroutine on the loop, from any other thread.
+  /// Runs fn on the loop and waits until it returns; from any other thread.
+  void post_and_wait(const std::function<void()>& fn);
+  /// Starts a coroutine on the loop; from any other thread.
   template <typename T>
-  std::future<T> spawn(Awaitable<T> work) {
-    std::future<T> result = boost::asio::co_spawn(context_, std::move(work), boost::asio::use_future);
-    wake();
+  std::future<T> spawn(Awaitable<T> coroutine) {
+    std::future<T> result = boost::asio::co_spawn(context_, std::move(coroutine), boost::asio::use_future);
+    wake_up();
     return result;
   }
 
   const WallClock& wall() const { return wall_; }
   grpc::CompletionQueue* queue() { return queue_.get(); }
-  // For the one server that may run on this loop; its calls come to queue().
+  /// For the one server that may run on this loop. Its calls arrive in server_queue().
   grpc::ServerBuilder& server_builder() { return builder_; }
   grpc::ServerCompletionQueue* server_queue() { return queue_.get(); }
 
  private:
-  void work();
-  gpr_timespec wait() const;
-  void wake();
+  class WakeUpTag;
+
+  void run();
+  gpr_timespec time_until_next_call() const;
+  void wake_up();
 
   const WallClock wall_;
-  const SteadyClock steady_;
-  const std::chrono::steady_clock::time_point base_;
-  const TimeUs base_us_;
+  const EpochClock clock_;
   grpc::ServerBuilder builder_;
   std::unique_ptr<grpc::ServerCompletionQueue> queue_;
-  boost::asio::io_context context_;  // after the queue, which what is left in here may still name
-  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> guard_;
-  TimerHeap timers_;  // the loop's thread alone uses it
-  std::atomic<bool> waking_{false};
-  std::atomic<bool> ending_{false};
+  boost::asio::io_context context_;  // after queue_, which handlers that are left in it may refer to
+  boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
+  TimerHeap timers_;  // used on the loop's thread
+  std::atomic<bool> wake_up_pending_{false};
+  std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
--- a/src/rpc/grpc_server.cpp
+++ b/src/rpc/grpc_server.cpp
@@ -7,11 +7,20 @@
 #include <boost/asio/detached.hpp>
 #include <utility>
 
-#include "rpc/grpc_tags.h"
+#include "rpc/completion_tag.h"
 
 namespace sablelink::rpc {
 namespace asio = boost::asio;
 
+namespace {
+
+// gRPC's own clients round a timeout up by as much as 1% before they send it, and may send one that they have
+// sent before instead where that is up to 3% longer (header compression). They wait no longer than they were
+// asked to.
+constexpr TimeUs kTimeoutRoundingDivisor = 25;
+
+}  // namespace
+
 class GrpcServer::Call : public ServerCall, public std::enable_shared_from_this<Call> {
  public:
   Call() : stream(&context) {}
@@ -19,22 +28,22 @@
   const std::string& method() const override { return method_; }
   const Metadata& metadata() const override { return metadata_; }
   const std::string& peer() const override { return peer_; }
-  std::optional<TimeUs> allowed() const override { return allowed_; }
+  std::optional<TimeUs> client_timeout_us() const override { return client_timeout_us_; }
   bool cancelled() const override { return cancelled_; }
 
   Awaitable<std::optional<std::string>> read() override {
     const auto buffer = std::make_shared<grpc::ByteBuffer>();
     const auto self = shared_from_this();
     auto start = [self, buffer](void* tag) { self->stream.Read(buffer.get(), tag); };
-    const bool ok = co_await await_tag(self, std::move(start));
+    const bool ok = co_await await_completion(self, std::move(start));
     if (!ok) co_return std::nullopt;
-    co_return take_bytes(*buffer);
+    co_return to_string(*buffer);
   }
 
   Awaitable<bool> write(std::string message) override {
     const auto self = shared_from_this();
-    const grpc::ByteBuffer buffer = give_bytes(std::move(message));
-    return await_tag(self, [self, buffer](void* tag) { self->stream.Write(buffer, tag); });
+    const grpc::ByteBuffer buffer = to_byte_buffer(std::move(message));
+    return await_completion(self, [self, buffer](void* tag) { self->stream.Write(buffer, tag); });
   }
 
   Awaitable<bool> finish(Status status, Metadata trailers, std::optional<std::string> last) override {
@@ -43,46 +52,44 @@
     const grpc::Status end(static_cast<grpc::StatusCode>(status.code), status.message, status.details);
     const auto self = shared_from_this();
     if (!last) {
-      return await_tag(self, [self, end](void* tag) { self->stream.Finish(end, tag); });
+      return await_completion(self, [self, end](void* tag) { self->stream.Finish(end, tag); });
     }
-    const grpc::ByteBuffer buffer = give_bytes(std::move(*last));
-    return await_tag(self, [self, end, buffer](void* tag) {
+    const grpc::ByteBuffer buffer = to_byte_buffer(std::move(*last));
+    return await_completion(self, [self, end, buffer](void* tag) {
       self->stream.WriteAndFinish(buffer, grpc::WriteOptions(), end, tag);
     });
   }
 
   void on_cancelled(std::function<void()> fn) override {
-    if (cancelled_)
+    if (cancelled_) {
       fn();
-    else
+    } else {
       on_cancelled_ = std::move(fn);
+    }
   }
 
-  // Reads what came with the call.
-  void arrived(const WallClock& wall) {
+  // Reads what has arrived with the call.
+  void on_arrived(const WallClock& wall) {
     method_ = context.method();
     metadata_ = copy_metadata(context.client_metadata());
     peer_ = context.peer();
     const auto deadline = context.deadline();
-    if (deadline != std::chrono::system_clock::time_point::max()) {
-      const auto left = std::chrono::duration_cast<std::chrono::microseconds>(deadline - wall()).count();
-      // gRPC's own clients round a timeout up by as much as 1% before they send it, and send one that they
-      // have sent before in its place where that is up to 3% longer (header compression). They themselves
-      // wait for no longer than was asked.
-      allowed_ = std::max<TimeUs>(left - left / 25, 0);
-    }
+    if (deadline == std::chrono::system_clock::time_point::max()) return;
+    const auto remaining = std::chrono::duration_cast<std::chrono::microseconds>(deadline - wall());
+    const TimeUs remaining_us = remaining.count();
+    client_timeout_us_ = std::max<TimeUs>(remaining_us - remaining_us / kTimeoutRoundingDivisor, 0);
   }
 
-  // The call is over.
-  void done() {
+  // gRPC reports that the call has completed or was cancelled.
+  void on_done() {
     if (context.IsCancelled()) {
       cancelled_ = true;
       if (on_cancelled_) std::exchange(on_cancelled_, nullptr)();
     }
-    on_cancelled_ = nullptr;  // it may hold what holds this call
+    on_cancelled_ = nullptr;  // it may own this call
   }
 
-  void break_off() {
+  void cancel_unless_finished() {
     if (!finished_ && !cancelled_) context.TryCancel();
   }
 
@@ -93,7 +100,7 @@
   std::string method_;
   Metadata metadata_;
   std::string peer_;
-  std::optional<TimeUs> allowed_;
+  std::optional<TimeUs> client_timeout_us_;
   bool cancelled_ = false;
   bool finished_ = false;
   std::function<void()> on_cancelled_;
@@ -109,53 +116,54 @@
   builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);  // a port in use is an error, not shared
   server_ = builder.BuildAndStart();
   if (!server_ || port_ == 0) throw ListenError("can't listen on " + options.address);
-  for (int i = 0; i < options.waiting_calls; ++i) accept();
+  for (int i = 0; i < options.pending_accepts; ++i) accept_next();
 }
 
 GrpcServer::~GrpcServer() { shutdown(0); }
 
-void GrpcServer::shutdown(TimeUs grace) {
-  server_->Shutdown(loop_.wall()() + std::chrono::microseconds(grace));
-  // A handler that still runs may start an operation, and a call waited for names this server.
+void GrpcServer::shutdown(TimeUs grace_us) {
+  server_->Shutdown(loop_.wall()() + std::chrono::microseconds(grace_us));
+  // A running handler may start further operations, and a pending accept refers to this server.
   std::unique_lock lock(mutex_);
-  ended_.wait(lock, [this] { return running_ == 0; });
+  none_active_.wait(lock, [this] { return active_ == 0; });
 }
 
-void GrpcServer::accept() {
-  count(1);
+// Both tags own the call: one until it has arrived, the other until it has completed.
+void GrpcServer::accept_next() {
+  add_active(1);
   auto call = std::make_shared<Call>();
-  // Both tags hold the call: the first until it has arrived, the second until it is over.
-  auto* const raw = call.get();
-  auto over = [call](bool) { call->done(); };
-  auto* const over_tag = new FnTag<decltype(over)>(std::move(over));
-  raw->context.AsyncNotifyWhenDone(over_tag->give_out());
-  auto arrived = [this, call = std::move(call), over_tag](bool ok) mutable {
+  auto* const raw_call = call.get();
+  auto on_done = [call](bool) { call->on_done(); };
+  auto* const done_tag = new CallbackTag<decltype(on_done)>(std::move(on_done));
+  raw_call->context.AsyncNotifyWhenDone(done_tag->hand_to_grpc());
+  auto on_arrived = [this, call = std::move(call), done_tag](bool ok) mutable {
     if (ok) {
-      accept();
-      take(std::move(call));
+      accept_next();
+      run_handler(std::move(call));
     } else {
-      over_tag->abandon();  // gRPC doesn't return it where the call never started
-      count(-1);
+      done_tag->abandon();  // gRPC doesn't return it where the call never started
+      add_active(-1);
     }
   };
-  service_.RequestCall(&raw->context, &raw->stream, loop_.queue(), loop_.server_queue(),
-                       (new FnTag<decltype(arrived)>(std::move(arrived)))->give_out());
+  auto* const arrived_tag = new CallbackTag<decltype(on_arrived)>(std::move(on_arrived));
+  service_.RequestCall(&raw_call->context, &raw_call->stream, loop_.queue(), loop_.server_queue(),
+                       arrived_tag->hand_to_grpc());
 }
 
-void GrpcServer::count(int by) {
+void GrpcServer::add_active(int change) {
   const std::lock_guard lock(mutex_);
-  running_ += by;
-  if (running_ == 0) ended_.notify_all();
+  active_ += change;
+  if (active_ == 0) none_active_.notify_all();
 }
 
-void GrpcServer::take(std::shared_ptr<Call> call) {
-  call->arrived(loop_.wall());
+void GrpcServer::run_handler(std::shared_ptr<Call> call) {
+  call->on_arrived(loop_.wall());
   asio::co_spawn(
       loop_.executor(),
-      [](GrpcServer* server, std::shared_ptr<Call> c) -> Awaitable<void> {
-        co_await server->handler_(c);
-        c->break_off();
-        server->count(-1);
+      [](GrpcServer* server, std::shared_ptr<Call> handled) -> Awaitable<void> {
+        co_await server->handler_(handled);
+        handled->cancel_unless_finished();
+        server->add_active(-1);
       }(this, std::move(call)),
       asio::detached);
 }
--- a/src/rpc/grpc_server.h
+++ b/src/rpc/grpc_server.h
@@ -1,4 +1,4 @@
-// Serves calls of any method through gRPC's generic service.
+// Serves calls of any method through gRPC's generic service, without encryption.
 #pragma once
 
 #include <grpcpp/generic/async_generic_service.h>
@@ -18,28 +18,30 @@
 struct GrpcServerOptions {
   std::string address;               // "host:port"; port 0 takes any free one
   int max_message_bytes = 16 << 20;  // a larger message ends its call with RESOURCE_EXHAUSTED
-  int waiting_calls = 64;            // calls that may arrive together without one waiting to be taken
+  int pending_accepts = 64;          // calls that gRPC can deliver before one of them is handled
 };
 
-// The handler runs on the loop, once for each call. A loop bears one server, which must go before it.
+/// Runs a handler on the loop for each call. A loop can have one server, which must be destroyed before the
+/// loop.
 class GrpcServer {
  public:
-  // Listens at once. Throws ListenError, naming the address, where that fails.
+  /// Listens at once. Throws ListenError, naming the address, where that fails.
   GrpcServer(const GrpcServerOptions& options, GrpcLoop& loop, ServerHandler handler);
-  ~GrpcServer();  // shutdown(0) where that hasn't been called
+  /// As shutdown(0).
+  ~GrpcServer();
   GrpcServer(const GrpcServer&) = delete;
   GrpcServer& operator=(const GrpcServer&) = delete;
 
   int port() const { return port_; }
-  // Takes no further calls, waits for those that are out and breaks them off after the grace; a handler whose
-  // call is cancelled must end. Blocks; not to be called on the loop.
-  void shutdown(TimeUs grace);
+  /// Accepts no further calls and waits for those in flight, which are cancelled after the grace period; a
+  /// handler must return once its call is cancelled. Blocks, so it must not be called on the loop.
+  void shutdown(TimeUs grace_us);
 
  private:
   class Call;
-  void accept();
-  void take(std::shared_ptr<Call> call);
-  void count(int by);
+  void accept_next();
+  void run_handler(std::shared_ptr<Call> call);
+  void add_active(int change);
 
   GrpcLoop& loop_;
   ServerHandler handler_;
@@ -47,8 +49,8 @@
   int port_ = 0;
   std::unique_ptr<grpc::Server> server_;
   std::mutex mutex_;
-  std::condition_variable ended_;
-  size_t running_ = 0;  // calls waited for and handlers that haven't ended; guarded by mutex_
+  std::condition_variable none_active_;
+  size_t active_ = 0;  // pending accepts and running handlers; guarded by mutex_
 };
 
 }  // namespace sablelink::rpc
--- a/src/rpc/rpc.cpp
+++ b/src/rpc/rpc.cpp
@@ -16,8 +16,9 @@
 }
 
 std::string_view find_value(const Metadata& metadata, std::string_view key) {
-  for (const auto& [name, value] : metadata)
+  for (const auto& [name, value] : metadata) {
     if (name == key) return value;
+  }
   return {};
 }
 
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -1,9 +1,9 @@
-// The seam between the protocol code and what carries its messages. One call is a stream of messages each
-// way, with metadata before, a status and trailers after; that is gRPC's model, and grpc_server.h and
-// grpc_client.h implement it on gRPC. A simulated network implements the same interface.
+// The interface between protocol code and what carries its messages, after gRPC's model: a call is a stream
+// of messages each way, with metadata before them and a status and trailers after them. grpc_server.h and
+// grpc_client.h implement it on gRPC, sim/network.h in simulated worlds.
 //
-// Threads: every method is called, and every awaited result arrives, on the strand given at construction.
-// At most one read and one write (or finish) of a call may be awaited at a time.
+// Every method is called, and every awaited result arrives, on the strand given at construction. At most one
+// read and one write (or finish) of a call may be in flight.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -22,7 +22,7 @@
 template <typename T>
 using Awaitable = boost::asio::awaitable<T>;
 
-// Codes of gRPC's public status table.
+/// gRPC's status codes.
 enum class Code {
   kOk = 0,
   kCancelled = 1,
@@ -42,6 +42,7 @@
   kDataLoss = 15,
   kUnauthenticated = 16,
 };
+/// For example "NOT_FOUND"; "UNKNOWN" for a value that isn't a code.
 std::string_view code_name(Code code);
 
 struct Status {
@@ -51,61 +52,72 @@
   bool ok() const { return code == Code::kOk; }
 };
 
-// Keys in lower case; values of keys that end in "-bin" are bytes.
+/// Keys are in lower case; values of keys that end in "-bin" are arbitrary bytes.
 using Metadata = std::vector<std::pair<std::string, std::string>>;
-// The first value of a key, or an empty view.
+/// The first value of the key; empty where there is none.
 std::string_view find_value(const Metadata& metadata, std::string_view key);
 
-// One call that a client has made here. Destroying it before finish() breaks the call off.
+/// A call received from a client. Destroying it before finish() cancels the call.
 class ServerCall {
  public:
   virtual ~ServerCall() = default;
   virtual const std::string& method() const = 0;  // "/package.Service/Method"
   virtual const Metadata& metadata() const = 0;
-  virtual const std::string& peer() const = 0;  // the client's connection
-  // How long the client is sure to wait, from when the call came; none where it waits without end.
-  virtual std::optional<TimeUs> allowed() const = 0;
-  virtual Awaitable<std::optional<std::string>> read() = 0;  // none: the client has ended its stream, or left
-  virtual Awaitable<bool> write(std::string message) = 0;    // false: the call is broken
-  // Ends the call, with a last message where given; false: the end may not have reached the client.
+  /// Identifies the client's connection.
+  virtual const std::string& peer() const = 0;
+  /// The time that the client waits at least, in microseconds from the call's arrival; none for no time-out.
+  virtual std::optional<TimeUs> client_timeout_us() const = 0;
+  /// None where the client has ended its stream or disconnected.
+  virtual Awaitable<std::optional<std::string>> read() = 0;
+  /// False where the call is broken.
+  virtual Awaitable<bool> write(std::string message) = 0;
+  /// Ends the call, after a last message where one is given. False where the status may not have reached the
+  /// client.
   virtual Awaitable<bool> finish(Status status, Metadata trailers, std::optional<std::string> last) = 0;
-  // Called once when the client cancels, its deadline passes or its connection breaks; at once if it has.
+  /// fn is called once when the client cancels, its deadline passes or its connection breaks; at once where
+  /// that has happened already.
   virtual void on_cancelled(std::function<void()> fn) = 0;
   virtual bool cancelled() const = 0;
 };
 
 using ServerHandler = std::function<Awaitable<void>(std::shared_ptr<ServerCall>)>;
 
-// How a call to a server ended. A status that this side made up, as for a broken connection, has no trailers.
-struct CallEnd {
+/// How a call to a server ended. A status made on this side, as for a broken connection, has no trailers.
+struct CallResult {
   Status status;
   Metadata trailers;
 };
 
-// One call made to a server. Destroying it cancels what is still out.
+/// A call made to a server. Destroying it cancels the call.
 class ClientCall {
  public:
   virtual ~ClientCall() = default;
-  virtual Awaitable<bool> write(std::string message, bool last) = 0;  // false: the call is broken
-  virtual Awaitable<std::optional<std::string>> read() = 0;  // none: no more messages; finish() tells
-  virtual Awaitable<CallEnd> finish() = 0;                   // once, after read() gave none
-  virtual void cancel() = 0;                                 // may be called at any time
+  /// last: no further message follows. False where the call is broken.
+  virtual Awaitable<bool> write(std::string message, bool last) = 0;
+  /// None after the last message; finish() has the reason.
+  virtual Awaitable<std::optional<std::string>> read() = 0;
+  /// To be called once, after read() has returned none.
+  virtual Awaitable<CallResult> finish() = 0;
+  /// May be called at any time.
+  virtual void cancel() = 0;
 };
 
+/// A connection to a server, which is made anew where it has broken.
 class Channel {
  public:
   virtual ~Channel() = default;
-  // True once a connection stands; false where it can't be had within the time. Nothing of a call made
-  // later is sent before, so false proves that the server has seen nothing.
-  virtual Awaitable<bool> connect(TimeUs within) = 0;
-  // Starts a call; allow is its time-out on both sides, 0 for none.
-  virtual std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs allow) = 0;
+  /// True once connected; false where that takes longer than the time-out. Nothing of a later call is sent
+  /// before, so false proves that the server has seen nothing of it.
+  virtual Awaitable<bool> connect(TimeUs timeout_us) = 0;
+  /// Starts a call. The time-out applies on both sides; 0 for none.
+  virtual std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs timeout_us) = 0;
 };
 
 class ChannelFactory {
  public:
   virtual ~ChannelFactory() = default;
-  virtual std::unique_ptr<Channel> open(const std::string& address) = 0;  // "host:port"
+  /// address: "host:port".
+  virtual std::unique_ptr<Channel> open(const std::string& address) = 0;
 };
 
 }  // namespace sablelink::rpc
--- a/src/rpc/tcp_transport.h
+++ b/src/rpc/tcp_transport.h
@@ -1,10 +1,12 @@
-// Byte streams on TCP sockets. Beside gRPC's loop, which waits in gRPC, sockets are waited for on a thread of
-// their own, and what comes is handed to the strand; an AsioLoop waits for them itself.
+// Connects to and listens at TCP addresses. On an AsioLoop, the loop itself waits for the sockets. For other
+// strands, such as gRPC's loop, which waits in gRPC, a thread of its own waits for them and hands the results
+// to the strand.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
+#include <cstddef>
 #include <functional>
 #include <memory>
 #include <optional>
@@ -14,57 +16,60 @@
 
 #include "base/clock.h"
 #include "rpc/byte_stream.h"
+#include "rpc/tcp_socket.h"
 
 namespace sablelink::rpc {
 
-// The strand that streams belong to. post may be called from any thread; all three must outlive the net.
+class AsioLoop;
+
+/// The strand that streams belong to. All three parts must outlive the transport.
 struct Strand {
   boost::asio::any_io_executor executor;
+  /// Runs a function on the strand; may be called from any thread.
   std::function<void(std::function<void()>)> post;
   Clock& clock;
 };
 
-class AsioLoop;
-
-class TcpNet : public Dialer {
+class TcpTransport : public Dialer {
  public:
-  // Its streams know by reading alone what waits to be read: readable() and peer_left() are false before.
-  explicit TcpNet(Strand strand);
-  // On the loop's own thread, with no other. Made and ended while the loop doesn't run, or on it.
-  explicit TcpNet(AsioLoop& loop);
-  // Closes every socket. With a thread of its own it waits until whoever waited for one was told, and must
-  // not be on the strand; on an AsioLoop they are told as that runs on.
-  ~TcpNet() override;
-  TcpNet(const TcpNet&) = delete;
-  TcpNet& operator=(const TcpNet&) = delete;
+  /// Waits for its sockets on a thread of its own. readable() and peer_closed() of its streams only know what
+  /// a read has found.
+  explicit TcpTransport(Strand strand);
+  /// Waits for its sockets on the loop's thread. Constructed and destroyed on the loop or while it doesn't
+  /// run.
+  explicit TcpTransport(AsioLoop& loop);
+  /// Closes every socket. With a thread of its own it waits until every operation has completed, and must not
+  /// be called on the strand; on an AsioLoop the operations complete when the loop runs on.
+  ~TcpTransport() override;
+  TcpTransport(const TcpTransport&) = delete;
+  TcpTransport& operator=(const TcpTransport&) = delete;
 
-  // Serves connections at host:port, port 0 for any, from now until the net's end; the port. Throws
-  // AddressError or ListenError, naming the address, where that can't be.
+  /// Serves connections at "host:port" from now on; port 0 takes any free one. Returns the port. Throws
+  /// AddressError or ListenError, naming the address.
   int listen(const std::string& address, StreamHandler handler);
-  // Serves the connections that are made already, and takes no further ones; those that stand stay.
+  /// Closes the listeners. Connections that are established or wait to be accepted are still served.
   void stop_listening();
+
   boost::asio::any_io_executor executor() const override { return strand_.executor; }
-  Awaitable<std::shared_ptr<ByteStream>> connect(std::string address, TimeUs within,
-                                                 ConnectEnd* end = nullptr) override;
+  Awaitable<ConnectResult> connect(std::string address, TimeUs timeout_us) override;
 
  private:
-  class Socket;
-  class Acceptor;
-
-  // To be closed at the end, if it is still there; on the context's thread.
-  void keep(const std::shared_ptr<Socket>& socket);
+  class Listener;
 
-  void on_context(std::function<void()> fn);
+  // The following run on the io_context's thread.
+  std::shared_ptr<TcpSocket> make_socket() const;
+  void register_socket(const std::shared_ptr<TcpSocket>& socket);
   void close_all();
 
   const Strand strand_;
-  std::unique_ptr<boost::asio::io_context> own_;  // with its thread; none on an AsioLoop
-  boost::asio::io_context& context_;
-  std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> guard_;
-  std::vector<std::weak_ptr<Socket>> sockets_;  // these three on the context's thread
-  size_t swept_at_ = 64;
-  std::vector<std::shared_ptr<Acceptor>> acceptors_;
-  std::thread thread_;
+  std::unique_ptr<boost::asio::io_context> own_io_;  // nullptr on an AsioLoop
+  const TcpContext context_;
+  std::optional<boost::asio::executor_work_guard<boost::asio::io_context::executor_type>> work_guard_;
+  // Used on the io_context's thread.
+  std::vector<std::weak_ptr<TcpSocket>> sockets_;  // to be closed at the end
+  size_t sweep_threshold_;                         // number of sockets at which expired ones are dropped
+  std::vector<std::shared_ptr<Listener>> listeners_;
+  std::thread io_thread_;  // not joinable on an AsioLoop
 };
 
 }  // namespace sablelink::rpc
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -23,7 +23,7 @@
       core_(std::make_unique<GatewayCore>(
           config_, GatewaySeeds::draw(system.random),
           GatewayPorts{loop_.executor(), loop_, channels_, *log_, nullptr, {}})) {
-  loop_.run([this] { core_->start(); });
+  loop_.post_and_wait([this] { core_->start(); });
   rpc::GrpcServerOptions options;
   options.address = config_.listen_address;
   options.max_message_bytes = static_cast<int>(config_.flight_sql.max_message_bytes);
@@ -49,10 +49,10 @@
 
 void GatewayService::unwind() {
   for (bool quiet = false; !quiet;) {
-    loop_.run([&] { quiet = core_->quiesce(); });
+    loop_.post_and_wait([&] { quiet = core_->quiesce(); });
     if (!quiet) std::this_thread::sleep_for(std::chrono::milliseconds(1));
   }
-  loop_.run([this] { core_.reset(); });
+  loop_.post_and_wait([this] { core_.reset(); });
 }
 
 void GatewayService::reload(const config::GatewayConfig& config) {
@@ -91,7 +91,7 @@
 
 void GatewayService::inspect(
     const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
-  loop_.run([&] { fn(core_->dispatcher(), core_->front()); });
+  loop_.post_and_wait([&] { fn(core_->dispatcher(), core_->front()); });
 }
 
 }  // namespace sablelink::service
--- a/src/service/node_service.cpp
+++ b/src/service/node_service.cpp
@@ -17,7 +17,7 @@
 
 NodeService::~NodeService() {
   server_->shutdown(0);
-  loop_.run([this] { node_.reset(); });
+  loop_.post_and_wait([this] { node_.reset(); });
 }
 
 void NodeService::stop(TimeUs grace) {
@@ -26,7 +26,7 @@
 }
 
 void NodeService::inspect(const std::function<void(nodes::StandIn&)>& fn) {
-  loop_.run([&] { fn(*node_); });
+  loop_.post_and_wait([&] { fn(*node_); });
 }
 
 }  // namespace sablelink::service
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -33,7 +33,7 @@
     : config_(std::move(config)),
       log_(make_json_log("gateway", "info")),
       loop_(system.wall, system.steady),
-      net_(std::make_unique<rpc::TcpNet>(loop_)),
+      net_(std::make_unique<rpc::TcpTransport>(loop_)),
       lists_(std::make_unique<Lists>(*this)) {
   const platform::DescriptorBudget budget = platform::DescriptorBudget::of(config_.max_descriptors);
   platform::EngineClientOptions to_nodes;
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -13,7 +13,7 @@
 #include "platform/engine_client/engine_client.h"
 #include "platform/http_server.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "service/runtime.h"
 
 namespace sablelink::service {
@@ -50,7 +50,7 @@
   const platform::PlatformConfig config_;
   std::unique_ptr<Log> log_;
   rpc::AsioLoop loop_;
-  std::unique_ptr<rpc::TcpNet> net_;
+  std::unique_ptr<rpc::TcpTransport> net_;
   membership::EndpointRegistry directory_;
   std::unique_ptr<Lists> lists_;
   std::unique_ptr<platform::EngineClient> nodes_;
--- a/src/sim/defects.cpp
+++ b/src/sim/defects.cpp
@@ -107,8 +107,8 @@
   const std::string& method() const override { return inner_->method(); }
   const rpc::Metadata& metadata() const override { return inner_->metadata(); }
   const std::string& peer() const override { return inner_->peer(); }
-  std::optional<TimeUs> allowed() const override {
-    std::optional<TimeUs> allowed = inner_->allowed();
+  std::optional<TimeUs> client_timeout_us() const override {
+    std::optional<TimeUs> allowed = inner_->client_timeout_us();
     if (allowed && defect_ == Defect::kAnswerLate) *allowed += kLateUs;
     return allowed;
   }
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -11,13 +11,13 @@
 namespace sablelink::sim {
 
 using rpc::Awaitable;
-using rpc::CallEnd;
+using rpc::CallResult;
 using rpc::Code;
 
 namespace {
 
-CallEnd made_up(Code code, std::string what) {
-  CallEnd end;
+CallResult made_up(Code code, std::string what) {
+  CallResult end;
   end.status = {code, std::move(what), ""};
   return end;
 }
@@ -70,7 +70,7 @@
   TimeUs allow = 0;
   bool started = false;
   // At the client.
-  std::optional<CallEnd> end;
+  std::optional<CallResult> end;
   Signal ended;
   // At the server.
   std::shared_ptr<Listener> listener;
@@ -89,7 +89,7 @@
   const std::string& method() const override { return call_->facts.method; }
   const rpc::Metadata& metadata() const override { return call_->facts.metadata; }
   const std::string& peer() const override { return peer_; }
-  std::optional<TimeUs> allowed() const override { return call_->allowed; }
+  std::optional<TimeUs> client_timeout_us() const override { return call_->allowed; }
   bool cancelled() const override { return call_->cancelled; }
   void on_cancelled(std::function<void()> fn) override {
     if (call_->cancelled)
@@ -131,7 +131,7 @@
     if (call->server.over) co_return false;
     if (last) pass_on(std::move(*last));
     network_.tap_.answer_left(call->facts, status);
-    CallEnd end{std::move(status), std::move(trailers)};
+    CallResult end{std::move(status), std::move(trailers)};
     network_.end_at_server(call);
     const auto losing = network_.losing_.find(call->facts.address);
     if (losing != network_.losing_.end() && losing->second > 0) {
@@ -214,7 +214,7 @@
     co_return message;
   }
 
-  Awaitable<CallEnd> finish() override {
+  Awaitable<CallResult> finish() override {
     const std::shared_ptr<Call> call = call_;
     while (!call->end) co_await call->ended.wait();
     co_return *call->end;
@@ -281,7 +281,7 @@
   if (call->cancelled && fn) fn();
 }
 
-void Network::end_at_client(const std::shared_ptr<Call>& call, CallEnd end, bool from_server) {
+void Network::end_at_client(const std::shared_ptr<Call>& call, CallResult end, bool from_server) {
   if (call->client.over) return;
   call->client.over = true;
   call->end = std::move(end);
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -37,7 +37,7 @@
   virtual void answer_left(const CallFacts&, const rpc::Status&) {}  // the server's end is out
   virtual void call_over_at_server(const CallFacts&) {}              // answered, or it heard of the end
   virtual void answered_again(const CallFacts&) {}                   // a server that ends a call twice
-  virtual void call_over(const CallFacts&, const rpc::CallEnd&, bool /*from_server*/) {}  // at the client
+  virtual void call_over(const CallFacts&, const rpc::CallResult&, bool /*from_server*/) {}  // at the client
 };
 
 struct LinkTerms {
@@ -109,7 +109,7 @@
   void break_connection(const std::shared_ptr<Connection>& connection, Hears client, Hears server,
                         const std::string& why = "the connection broke");
   void end_calls(const std::vector<std::weak_ptr<Call>>& calls, bool at_client, const std::string& why);
-  void end_at_client(const std::shared_ptr<Call>& call, rpc::CallEnd end, bool from_server);
+  void end_at_client(const std::shared_ptr<Call>& call, rpc::CallResult end, bool from_server);
   void end_at_server(const std::shared_ptr<Call>& call);
   void arrive(const std::shared_ptr<Call>& call);
   void tell_read(const std::shared_ptr<Call>& call, bool to_server, size_t bytes);
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -163,7 +163,7 @@
   tell("BROKEN rule 1: " + all_.back().what);
 }
 
-void Observer::call_over(const CallFacts& call, const rpc::CallEnd& end, bool from_server) {
+void Observer::call_over(const CallFacts& call, const rpc::CallResult& end, bool from_server) {
   const std::string request = request_of(call);
   if (request.empty()) return;
   const std::pair<std::string, int> key(request, attempt_number(call));
--- a/src/sim/observer.h
+++ b/src/sim/observer.h
@@ -43,7 +43,7 @@
   void answer_left(const CallFacts& call, const rpc::Status& status) override;
   void call_over_at_server(const CallFacts& call) override;
   void answered_again(const CallFacts& call) override;
-  void call_over(const CallFacts& call, const rpc::CallEnd& end, bool from_server) override;
+  void call_over(const CallFacts& call, const rpc::CallResult& end, bool from_server) override;
   // From the nodes.
   void record(const nodes::NodeEvent& event) override;
   // From the world's driver.
--- a/src/sim/streams.cpp
+++ b/src/sim/streams.cpp
@@ -78,12 +78,12 @@
     const Connection::Side& here = connection_->sides[side_];
     return !here.in.empty() || here.in_end || here.broken;
   }
-  bool peer_left() const override {
+  bool peer_closed() const override {
     const Connection::Side& here = connection_->sides[side_];
     return here.in_end || here.broken;
   }
 
-  void end() override {
+  void shutdown_write() override {
     Connection::Side& here = connection_->sides[side_];
     if (here.broken || std::exchange(here.ended, true)) return;
     streams_.send(connection_, 1 - side_, [c = connection_, side = side_] {
@@ -140,9 +140,8 @@
   listeners_[address] = {std::move(actor), std::move(handler)};
 }
 
-Awaitable<std::shared_ptr<rpc::ByteStream>> Streams::connect(std::shared_ptr<Actor> client,
-                                                             std::string address, TimeUs within,
-                                                             rpc::ConnectEnd* end) {
+Awaitable<rpc::ConnectResult> Streams::connect(std::shared_ptr<Actor> client, std::string address,
+                                               TimeUs within) {
   const std::string name = "stream/" + client->name() + "/" + address;
   auto c = std::make_shared<Connection>(world_.stream(name + "/" + std::to_string(++made_[name])));
   c->address = address;
@@ -168,12 +167,10 @@
                [client, dial, refused] { client->deliver([dial, refused] { dial->tell(!refused); }); });
   client->call_after(within, [dial] { dial->tell(false); });
   const bool stands = co_await dial->wait();
-  if (end != nullptr)
-    *end = stands    ? rpc::ConnectEnd::kConnected
-           : refused ? rpc::ConnectEnd::kRefused
-                     : rpc::ConnectEnd::kTimeout;
-  if (!stands) co_return nullptr;
-  co_return std::make_shared<End>(*this, c, 0);
+  if (stands)
+    co_return rpc::ConnectResult{rpc::ConnectStatus::kConnected, std::make_shared<End>(*this, c, 0)};
+  const rpc::ConnectStatus status = refused ? rpc::ConnectStatus::kRefused : rpc::ConnectStatus::kTimeout;
+  co_return rpc::ConnectResult{status, nullptr};
 }
 
 void Streams::reset(const std::string& address) {
--- a/src/sim/streams.h
+++ b/src/sim/streams.h
@@ -21,8 +21,8 @@
 
   void listen(const std::string& address, std::shared_ptr<Actor> actor, rpc::StreamHandler handler);
   // Nothing where no connection came about within the time; end tells why.
-  rpc::Awaitable<std::shared_ptr<rpc::ByteStream>> connect(std::shared_ptr<Actor> client, std::string address,
-                                                           TimeUs within, rpc::ConnectEnd* end = nullptr);
+  rpc::Awaitable<rpc::ConnectResult> connect(std::shared_ptr<Actor> client, std::string address,
+                                             TimeUs within);
   void unlisten(const std::string& address) { listeners_.erase(address); }  // connections that stand stay
   void reset(const std::string& address);                                   // its connections break at once
 
--- a/tests/flightsql_test.cpp
+++ b/tests/flightsql_test.cpp
@@ -152,8 +152,8 @@
   EXPECT_FALSE(decode_report("").load);
 }
 
-rpc::CallEnd ended(rpc::Code code, bool from_server, rpc::Status status = {}) {
-  rpc::CallEnd end;
+rpc::CallResult ended(rpc::Code code, bool from_server, rpc::Status status = {}) {
+  rpc::CallResult end;
   end.status = std::move(status);
   end.status.code = code;
   if (from_server) end.trailers.emplace_back("x", "y");
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -196,7 +196,7 @@
   const flightsql::NodeReport report = flightsql::decode_report(bytes);
   if (report.work_us) check(*report.work_us >= 0, "work below 0");
   if (report.used_mb) check(*report.used_mb >= 0, "memory below 0");
-  rpc::CallEnd end;
+  rpc::CallResult end;
   end.status = {rpc::Code::kUnavailable, "m", bytes};
   end.trailers.emplace_back(std::string(flightsql::kLoadReportKey), bytes);
   flightsql::map_call_end(end);
@@ -256,8 +256,8 @@
   std::string pieces;
   platform::ChangeLogReader a(3, {});
   platform::ChangeLogReader b(3, {});
-  bool good = a.feed(
-      bytes, [&](const platform::WatchEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
+  bool good =
+      a.feed(bytes, [&](const platform::WatchEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
   bool also = true;
   for (size_t i = 0; also && i < bytes.size(); ++i)
     also = b.feed(bytes.substr(i, 1),
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -189,7 +189,7 @@
   }
   // Breaks off every call that is out.
   void cancel_all() {
-    loop_->run([&] { cancel_->cancel_all(); });
+    loop_->post_and_wait([&] { cancel_->cancel_all(); });
   }
   TimeUs wall() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(system_.wall().time_since_epoch()).count();
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -483,7 +483,7 @@
       flightsql::flight::PutResult result;
       if (result.ParseFromString(*message)) out.metadata = result.app_metadata();
     }
-    const rpc::CallEnd end = co_await call->finish();
+    const rpc::CallResult end = co_await call->finish();
     out.status = end.status;
     co_return out;
   }
@@ -498,16 +498,16 @@
   const PutEnd bound = put(command, {48213});
   ASSERT_TRUE(bound.status.ok()) << bound.status.message;
   const auto info = [&] {
-    return spawn(
-               [](Client* c, std::string descriptor) -> rpc::Awaitable<std::pair<rpc::CallEnd, std::string>> {
-                 const auto call =
-                     c->channel().call("/arrow.flight.protocol.FlightService/GetFlightInfo", {}, 5 * kSecond);
-                 co_await call->write(std::move(descriptor), true);
-                 std::pair<rpc::CallEnd, std::string> out;
-                 if (const std::optional<std::string> message = co_await call->read()) out.second = *message;
-                 out.first = co_await call->finish();
-                 co_return out;
-               }(client_.get(), flightsql::descriptor_of(command).SerializeAsString()))
+    return spawn([](Client* c,
+                    std::string descriptor) -> rpc::Awaitable<std::pair<rpc::CallResult, std::string>> {
+             const auto call =
+                 c->channel().call("/arrow.flight.protocol.FlightService/GetFlightInfo", {}, 5 * kSecond);
+             co_await call->write(std::move(descriptor), true);
+             std::pair<rpc::CallResult, std::string> out;
+             if (const std::optional<std::string> message = co_await call->read()) out.second = *message;
+             out.first = co_await call->finish();
+             co_return out;
+           }(client_.get(), flightsql::descriptor_of(command).SerializeAsString()))
         .get();
   };
   const auto [end, bytes] = info();
@@ -551,7 +551,7 @@
                  c->channel().call("/arrow.flight.protocol.FlightService/" + m, {}, 5 * kSecond);
              co_await made->write(std::move(bytes), true);
              while (const std::optional<std::string> answer = co_await made->read()) continue;
-             const rpc::CallEnd end = co_await made->finish();
+             const rpc::CallResult end = co_await made->finish();
              co_return end.status;
            }(client_.get(), method, message))
         .get();
@@ -648,7 +648,7 @@
   auto handler = [&](std::shared_ptr<rpc::ServerCall> call) -> rpc::Awaitable<void> {
     {
       const std::lock_guard lock(mutex);
-      taken.push_back(call->allowed().value_or(-1));
+      taken.push_back(call->client_timeout_us().value_or(-1));
     }
     rpc::Status status;
     rpc::Metadata trailers;
@@ -673,7 +673,7 @@
     EXPECT_GT(seen[i], allowed[i] / 2);  // it is known at all
   }
   spawn(client_->ask("SELECT 1", options(0))).get();
-  server_loop.run([] {});
+  server_loop.post_and_wait([] {});
   EXPECT_EQ(taken_so_far().back(), -1);
 }
 
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -9,7 +9,7 @@
 
 #include "platform/config.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "tests/platform/platform_config.h"
 #include "tests/platform/platform_harness.h"
 
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -8,7 +8,7 @@
 
 #include "platform/pages.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "sql/table_group.h"
 #include "tests/platform/platform_harness.h"
 
@@ -193,7 +193,7 @@
   const auto wall = [] { return std::chrono::system_clock::now(); };
   const auto steady = [] { return std::chrono::steady_clock::now(); };
   rpc::AsioLoop there(wall, steady), here(wall, steady);
-  auto far = std::make_unique<rpc::TcpNet>(there), net = std::make_unique<rpc::TcpNet>(here);
+  auto far = std::make_unique<rpc::TcpTransport>(there), net = std::make_unique<rpc::TcpTransport>(here);
   std::atomic<int> asked{0};
   config::EngineConfig node;
   node.name = "n";
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -21,7 +21,7 @@
 #include "platform/engine_client/engine_client.h"
 #include "platform/http_server.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "tests/workload/harness.h"
 
 namespace sablelink::test {
@@ -171,7 +171,7 @@
 
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(loop_);
+  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
   std::unique_ptr<RawSocket> node_listener_;
   std::vector<RawSocket> node_side_;
   int node_port_ = 0, port_ = 0;
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -119,8 +119,8 @@
     }
     rpc::Awaitable<size_t> write(std::string_view bytes) override { co_return bytes.size(); }
     bool readable() const override { return ++*asked < 0; }
-    bool peer_left() const override { return false; }
-    void end() override {}
+    bool peer_closed() const override { return false; }
+    void shutdown_write() override {}
     void close() override { closed.give(); }
     void reset() override { closed.give(); }
     Signal closed;
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -39,9 +39,8 @@
   SimulatedDialer(sim::World& world, sim::Streams& streams, std::shared_ptr<sim::Actor> from)
       : world_(world), streams_(streams), from_(std::move(from)) {}
   boost::asio::any_io_executor executor() const override { return world_.executor(); }
-  rpc::Awaitable<std::shared_ptr<rpc::ByteStream>> connect(std::string address, TimeUs within,
-                                                           rpc::ConnectEnd* end) override {
-    return streams_.connect(from_, std::move(address), within, end);
+  rpc::Awaitable<rpc::ConnectResult> connect(std::string address, TimeUs timeout_us) override {
+    return streams_.connect(from_, std::move(address), timeout_us);
   }
 
  private:
@@ -288,7 +287,8 @@
   rpc::Awaitable<void> exchange(std::string bytes, std::shared_ptr<ClientResponse> out, TimeUs timeout_us,
                                 int response_count) {
     const TimeUs started_at = world_.now();
-    const auto stream = co_await streams_.connect(client_, "gateway", 1'000'000);
+    const rpc::ConnectResult connected = co_await streams_.connect(client_, "gateway", 1'000'000);
+    const std::shared_ptr<rpc::ByteStream> stream = connected.stream;
     if (!stream) co_return;
     client_->call_after(timeout_us, [weak = std::weak_ptr<rpc::ByteStream>(stream)] {
       if (const auto s = weak.lock()) s->close();
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -16,7 +16,7 @@
 
 // What one call came back with.
 struct Reply {
-  rpc::CallEnd end;
+  rpc::CallResult end;
   std::vector<std::string> messages;
   bool ok() const { return end.status.ok(); }
 };
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -15,7 +15,7 @@
 #include "base/signal.h"
 #include "http/reader.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 
 namespace sablelink::test {
 namespace {
@@ -87,7 +87,8 @@
   }
   // The status of the answer; 0 where the connection ended, or none came about.
   rpc::Awaitable<void> ask(std::string bytes, int* status) {
-    const StreamPtr stream = co_await net_->connect(listen_, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await net_->connect(listen_, 5 * kSecond);
+    const StreamPtr stream = connected.stream;
     http::ResponseReader reader{http::MessageLimits{}};
     auto state = http::ParseStatus::kNeedMore;
     if (stream) co_await rpc::write_all(*stream, bytes);
@@ -133,7 +134,7 @@
   std::filesystem::path folder_;
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(loop_);
+  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
   std::string listen_, node_, logs_[2];
   TimeUs work_us_ = 0, deadline_us_ = 20 * kSecond;
   bool hangs_ = false;  // the node reads calls and answers none
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -10,7 +10,7 @@
 #include "rpc/asio_loop.h"
 #include "rpc/byte_stream.h"
 #include "rpc/grpc_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "sim/streams.h"
 #include "tests/sim_harness.h"
 
@@ -38,9 +38,12 @@
   std::string serve(rpc::StreamHandler handler) override {
     return "127.0.0.1:" + std::to_string(net_->listen("127.0.0.1:0", std::move(handler)));
   }
-  Awaitable<StreamPtr> connect(std::string address) override { return net_->connect(address, 5 * kSecond); }
+  Awaitable<StreamPtr> connect(std::string address) override {
+    const rpc::ConnectResult connected = co_await net_->connect(address, 5 * kSecond);
+    co_return connected.stream;
+  }
   std::string unused_address() override {
-    rpc::TcpNet other(strand());
+    rpc::TcpTransport other(strand());
     const int port = other.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
     return "127.0.0.1:" + std::to_string(port);
   }
@@ -53,7 +56,7 @@
   }
   rpc::GrpcLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(strand());
+  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(strand());
 };
 
 // On a loop of Asio's own, which waits for the sockets itself.
@@ -66,9 +69,12 @@
   std::string serve(rpc::StreamHandler handler) override {
     return "127.0.0.1:" + std::to_string(net_->listen("127.0.0.1:0", std::move(handler)));
   }
-  Awaitable<StreamPtr> connect(std::string address) override { return net_->connect(address, 5 * kSecond); }
+  Awaitable<StreamPtr> connect(std::string address) override {
+    const rpc::ConnectResult connected = co_await net_->connect(address, 5 * kSecond);
+    co_return connected.stream;
+  }
   std::string unused_address() override {
-    rpc::TcpNet other(loop_);
+    rpc::TcpTransport other(loop_);
     const int port = other.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
     return "127.0.0.1:" + std::to_string(port);
   }
@@ -84,7 +90,7 @@
  private:
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(loop_);
+  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
 };
 
 class SimStreams : public StreamNet {
@@ -97,7 +103,8 @@
     return "server";
   }
   Awaitable<StreamPtr> connect(std::string address) override {
-    return streams_.connect(client_, address, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await streams_.connect(client_, address, 5 * kSecond);
+    co_return connected.stream;
   }
   std::string unused_address() override { return "nobody"; }
   Clock& clock() override { return *client_; }
@@ -144,7 +151,7 @@
   }
 }
 
-TEST_P(StreamTest, BytesArriveWholeAndAnEndedSideStillReads) {
+TEST_P(StreamTest, ShutdownWrite_DeliversAllBytesAndReadsOn) {
   const std::string asked = pattern(300'000);
   const std::string answer = pattern(200'001);
   std::optional<std::string> seen;
@@ -154,7 +161,7 @@
     std::string text = answer;
     const bool sent = co_await rpc::write_all(*s, std::move(text));
     EXPECT_TRUE(sent);
-    s->end();
+    s->shutdown_write();
   });
   const auto client = [&]() -> Awaitable<void> {
     const StreamPtr s = co_await net_->connect(address);
@@ -162,7 +169,7 @@
     std::string text = asked;
     const bool sent = co_await rpc::write_all(*s, std::move(text));
     EXPECT_TRUE(sent);
-    s->end();
+    s->shutdown_write();
     back = co_await read_all(s);
   };
   net_->run(client());
@@ -171,7 +178,7 @@
 }
 
 // What is on its way is bounded: a writer waits for a reader that does nothing.
-TEST_P(StreamTest, ASlowReaderHoldsItsWriterBack) {
+TEST_P(StreamTest, SlowReader_ExertsBackpressure) {
   constexpr size_t kAll = 32 << 20;
   size_t written = 0;
   size_t at_first_read = 0;
@@ -184,7 +191,7 @@
       if (!piece || piece->empty()) break;
       read += piece->size();
     }
-    s->end();
+    s->shutdown_write();
   });
   const auto client = [&]() -> Awaitable<void> {
     const StreamPtr s = co_await net_->connect(address);
@@ -195,7 +202,7 @@
       if (n == 0) co_return;
       written += n;
     }
-    s->end();
+    s->shutdown_write();
     co_await s->read(1);
   };
   net_->run(client());
@@ -203,7 +210,7 @@
   EXPECT_EQ(read, written);
 }
 
-TEST_P(StreamTest, WhatIsBrokenOffIsNoEnd) {
+TEST_P(StreamTest, CloseWithoutShutdown_IsNoEndOfStream) {
   const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> {
     co_await s->read(100);
     s->close();
@@ -224,7 +231,7 @@
   EXPECT_EQ(taken, 0u);
 }
 
-TEST_P(StreamTest, ARefusedConnectionIsNone) {
+TEST_P(StreamTest, RefusedConnection_GivesNoStream) {
   bool refused = false;
   const std::string address = net_->unused_address();
   const auto client = [&]() -> Awaitable<void> {
@@ -235,7 +242,7 @@
   EXPECT_TRUE(refused);
 }
 
-TEST_P(StreamTest, ClosingLetsItsOwnReaderGo) {
+TEST_P(StreamTest, Close_CompletesItsOwnRead) {
   const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> { co_await read_all(s); });
   bool let_go = false;
   const auto client = [&]() -> Awaitable<void> {
@@ -257,7 +264,7 @@
                          });
 
 // Both sides hear of it, whatever they wait for.
-TEST(Streams, AResetBreaksBothSides) {
+TEST(SimulatedStreams, Reset_BreaksBothSides) {
   sim::Account account;
   sim::World world{7, account};
   sim::Streams streams(world, {});
@@ -270,7 +277,8 @@
     server_broken = !piece.has_value();
   });
   const auto work = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await streams.connect(client, "server", kSecond);
+    const rpc::ConnectResult connected = co_await streams.connect(client, "server", kSecond);
+    const StreamPtr s = connected.stream;
     if (!s) co_return;
     client->call_after(10 * kMs, [&] { streams.reset("server"); });
     const std::optional<std::string> piece = co_await s->read(100);
@@ -281,10 +289,10 @@
   EXPECT_TRUE(server_broken);
 }
 
-TEST(TcpNet, ABadAddressIsNamed) {
+TEST(TcpTransport, InvalidAddress_IsNamedInTheError) {
   rpc::GrpcLoop loop([] { return std::chrono::system_clock::now(); },
                      [] { return std::chrono::steady_clock::now(); });
-  rpc::TcpNet net({loop.executor(), [&](std::function<void()> fn) { loop.post(std::move(fn)); }, loop});
+  rpc::TcpTransport net({loop.executor(), [&](std::function<void()> fn) { loop.post(std::move(fn)); }, loop});
   const auto handler = [](StreamPtr) -> Awaitable<void> { co_return; };
   for (const char* address : {"nowhere", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", "::1"}) {
     try {
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using rpc::Awaitable;
-using rpc::CallEnd;
+using rpc::CallResult;
 using rpc::Code;
 using CallPtr = std::shared_ptr<rpc::ServerCall>;
 constexpr TimeUs kMs = 1000, kSecond = 1'000'000;
@@ -170,10 +170,10 @@
   std::unique_ptr<Transport> transport;
   std::unique_ptr<rpc::Channel> channel;
   std::vector<std::string> received;
-  CallEnd end;
+  CallResult end;
 };
 
-TEST_P(TransportTest, MessagesMetadataStatusAndTrailersArriveWhole) {
+TEST_P(TransportTest, Call_CarriesMessagesMetadataStatusAndTrailers) {
   std::string method;
   std::string seen;
   std::vector<std::string> messages;
@@ -208,7 +208,7 @@
   EXPECT_EQ(rpc::find_value(end.trailers, "x-raw-bin"), std::string_view("\0\xff", 2));
 }
 
-TEST_P(TransportTest, ALastMessageComesWithTheEnd) {
+TEST_P(TransportTest, LastMessage_ArrivesWithTheStatus) {
   serve([](CallPtr call) -> Awaitable<void> { co_await end_well(call, "last"); });
   auto c = call();
   transport->run(ask(c.get(), "m"));
@@ -216,7 +216,7 @@
   EXPECT_EQ(end.status.code, Code::kOk);
 }
 
-TEST_P(TransportTest, AnEmptyMessageIsAMessage) {
+TEST_P(TransportTest, EmptyMessage_IsDelivered) {
   std::atomic<size_t> read{0};
   serve([&](CallPtr call) -> Awaitable<void> {
     while (co_await call->read()) ++read;
@@ -228,7 +228,7 @@
   EXPECT_EQ(received, std::vector<std::string>{""});
 }
 
-TEST_P(TransportTest, WhereNobodyListensThereIsNoConnection) {
+TEST_P(TransportTest, Connect_WithoutListener_Fails) {
   channel = transport->open(transport->unused_address());
   bool connected = true;
   transport->run(connect(&connected));
@@ -239,7 +239,7 @@
   EXPECT_TRUE(end.trailers.empty());
 }
 
-TEST_P(TransportTest, AConnectionThatStandsIsTold) {
+TEST_P(TransportTest, Connect_OnAnEstablishedConnection_Succeeds) {
   serve([](CallPtr call) -> Awaitable<void> { co_await end_well(call, std::nullopt); });
   bool first = false;
   bool second = false;
@@ -249,11 +249,11 @@
   EXPECT_TRUE(second);
 }
 
-TEST_P(TransportTest, TheDeadlineEndsACallOnBothSides) {
+TEST_P(TransportTest, Deadline_EndsTheCallOnBothSides) {
   std::atomic<int> cancels{0};
   std::atomic<TimeUs> allowed{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    allowed = call->allowed().value_or(-1);
+    allowed = call->client_timeout_us().value_or(-1);
     co_await until_cancelled(call, &cancels);
   });
   auto c = call(150 * kMs);
@@ -265,10 +265,10 @@
   EXPECT_GT(allowed, 75 * kMs);
 }
 
-TEST_P(TransportTest, WithoutATimeoutNoneIsTold) {
+TEST_P(TransportTest, CallWithoutTimeout_GivesTheServerNone) {
   std::atomic<bool> none{false};
   serve([&](CallPtr call) -> Awaitable<void> {
-    none = !call->allowed().has_value();
+    none = !call->client_timeout_us().has_value();
     co_await end_well(call, std::nullopt);
   });
   auto c = call(0);
@@ -276,7 +276,7 @@
   EXPECT_TRUE(none);
 }
 
-TEST_P(TransportTest, ACancelReachesTheServerOnce) {
+TEST_P(TransportTest, Cancel_ReachesTheServerOnce) {
   std::atomic<int> cancels{0};
   std::atomic<int> begun{0};
   serve([&](CallPtr call) -> Awaitable<void> {
@@ -298,7 +298,7 @@
   EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
 }
 
-TEST_P(TransportTest, ACallThatIsLetGoIsCancelled) {
+TEST_P(TransportTest, DestroyedCall_IsCancelled) {
   std::atomic<int> cancels{0};
   std::atomic<int> begun{0};
   serve([&](CallPtr call) -> Awaitable<void> {
@@ -312,7 +312,7 @@
   EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
 }
 
-TEST_P(TransportTest, ACallThatEndedWellIsNeverCancelled) {
+TEST_P(TransportTest, CompletedCall_IsNeverCancelled) {
   std::atomic<int> cancels{0};
   serve([&](CallPtr call) -> Awaitable<void> {
     call->on_cancelled([&] { ++cancels; });
@@ -327,7 +327,7 @@
   EXPECT_EQ(cancels, 0);
 }
 
-TEST_P(TransportTest, AHandlerThatGoesWithoutAnEndBreaksTheCallOff) {
+TEST_P(TransportTest, HandlerWithoutFinish_CancelsTheCall) {
   serve([](CallPtr call) -> Awaitable<void> { co_await call->read(); });
   auto c = call();
   transport->run(ask(c.get(), "m"));
@@ -335,7 +335,7 @@
   EXPECT_TRUE(end.trailers.empty());
 }
 
-TEST_P(TransportTest, AServerThatStopsBreaksItsCallsOff) {
+TEST_P(TransportTest, ServerShutdown_CancelsCallsInFlight) {
   std::atomic<int> cancels{0};
   std::atomic<int> begun{0};
   serve([&](CallPtr call) -> Awaitable<void> {
@@ -352,7 +352,7 @@
   EXPECT_EQ(cancels, 1);
 }
 
-TEST_P(TransportTest, TooLargeAMessageEndsItsCall) {
+TEST_P(TransportTest, TooLargeMessage_EndsTheCall) {
   serve(
       [](CallPtr call) -> Awaitable<void> {
         while (co_await call->read()) continue;
@@ -367,7 +367,7 @@
   EXPECT_EQ(end.status.code, Code::kOk);
 }
 
-TEST_P(TransportTest, ASlowReaderHoldsTheWriterBack) {
+TEST_P(TransportTest, SlowReader_ExertsBackpressure) {
   constexpr int kMessages = 200;
   constexpr size_t kBytes = 256 << 10;
   std::atomic<int> written{0};
@@ -389,7 +389,7 @@
   EXPECT_EQ(end.status.code, Code::kOk);
 }
 
-TEST_P(TransportTest, CallsOfOneChannelDontWaitForEachOther) {
+TEST_P(TransportTest, CallsOfOneChannel_DoNotBlockEachOther) {
   std::atomic<int> cancels{0};
   serve([&](CallPtr call) -> Awaitable<void> {
     const std::optional<std::string> m = co_await call->read();
@@ -409,13 +409,13 @@
 
 // The loop's thread may see its end before the call that wakes it has come to the queue, which was shut by
 // then and took the process down.
-TEST(GrpcLoop, EndsWhileItsThreadIsBusy) {
+TEST(GrpcLoop, DestructionWhileBusy_Completes) {
   for (int i = 0; i < 300; ++i) {
     std::function<void()> again;
     rpc::GrpcLoop loop([] { return std::chrono::system_clock::now(); },
                        [] { return std::chrono::steady_clock::now(); });
     again = [&] { loop.call_after(1, again); };
-    loop.run(again);
+    loop.post_and_wait(again);
   }
 }
 
