--- a/src/rpc/asio_loop.cpp
+++ b/src/rpc/asio_loop.cpp
@@ -16,14 +16,14 @@
 
 void AsioLoop::arm_timer() {
   if (timers_.empty()) return;
-  const TimeUs earliest = timers_.next_at();
+  const TimeUs earliest = timers_.next_deadline();
   if (armed_for_ && *armed_for_ <= earliest) return;
   armed_for_ = earliest;
   timer_.expires_at(clock_.to_steady(earliest));
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;  // armed again, for an earlier moment
     armed_for_.reset();
-    timers_.call_due(now());
+    timers_.run_due(now());
     arm_timer();
   });
 }
--- a/src/rpc/grpc_loop.cpp
+++ b/src/rpc/grpc_loop.cpp
@@ -77,7 +77,7 @@
 
 gpr_timespec GrpcLoop::time_until_next_call() const {
   if (timers_.empty()) return gpr_inf_future(GPR_CLOCK_MONOTONIC);
-  const TimeUs remaining_us = timers_.next_at() - now();
+  const TimeUs remaining_us = timers_.next_deadline() - now();
   return gpr_time_from_micros(remaining_us <= kBusyPollUs ? 0 : remaining_us, GPR_TIMESPAN);
 }
 
@@ -87,7 +87,7 @@
   while (!stopping_) {
     context_.poll();
     if (!timers_.empty()) {
-      timers_.call_due(now());
+      timers_.run_due(now());
       context_.poll();
     }
     if (queue_->AsyncNext(&tag, &ok, time_until_next_call()) == grpc::CompletionQueue::GOT_EVENT) {
--- a/src/rpc/tcp_socket.cpp
+++ b/src/rpc/tcp_socket.cpp
@@ -6,7 +6,7 @@
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/error.hpp>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 
 namespace sablelink::rpc {
 
@@ -26,7 +26,7 @@
   error_code error;
   size_t transferred_bytes = 0;
   bool completed = false;
-  Signal on_completed;
+  AsyncEvent on_completed;
 };
 
 TcpSocket::TcpSocket(TcpContext context) : context_(std::move(context)), socket_(context_.io) {}
@@ -38,7 +38,7 @@
     operation->transferred_bytes = transferred_bytes;
     self->context_.post_to_strand([operation] {
       operation->completed = true;
-      operation->on_completed.give();
+      operation->on_completed.set();
     });
   };
 }
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <thread>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 #include "rpc/asio_loop.h"
 #include "rpc/byte_stream.h"
 #include "rpc/grpc_loop.h"
@@ -184,7 +184,7 @@
   size_t at_first_read = 0;
   size_t read = 0;
   const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> {
-    co_await pause(net_->clock(), 50 * kMs);
+    co_await sleep_for(net_->clock(), 50 * kMs);
     at_first_read = written;
     while (true) {
       const std::optional<std::string> piece = co_await s->read(1 << 20);
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <thread>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 #include "rpc/grpc_client.h"
 #include "rpc/grpc_loop.h"
 #include "rpc/grpc_server.h"
@@ -159,10 +159,10 @@
   }
   // Waits in a handler until its call is cancelled.
   static Awaitable<void> until_cancelled(CallPtr call, std::atomic<int>* cancels) {
-    const auto over = std::make_shared<Signal>();
+    const auto over = std::make_shared<AsyncEvent>();
     call->on_cancelled([over, cancels] {
       ++*cancels;
-      over->give();
+      over->set();
     });
     co_await over->wait();
   }
@@ -323,7 +323,7 @@
     transport->run(ask(c.get(), "m"));
     EXPECT_EQ(end.status.code, Code::kOk);
   }
-  transport->run(pause(transport->client_clock(), 400 * kMs));
+  transport->run(sleep_for(transport->client_clock(), 400 * kMs));
   EXPECT_EQ(cancels, 0);
 }
 
@@ -381,7 +381,7 @@
   });
   auto c = call();
   transport->run(say(c.get(), "m"));
-  transport->run(pause(transport->client_clock(), 300 * kMs));
+  transport->run(sleep_for(transport->client_clock(), 300 * kMs));
   const int before = written;
   transport->run(hear(c.get()));
   EXPECT_LT(before, kMessages / 2);
