--- a/src/cli/badday.cpp
+++ b/src/cli/badday.cpp
@@ -2,6 +2,8 @@
 #include <cstdio>
 #include <filesystem>
 #include <fstream>
+#include <iterator>
+#include <system_error>
 
 #include "badday/day.h"
 #include "badday_script.h"
@@ -9,67 +11,98 @@
 #include "nodes/record_file.h"
 
 namespace sablelink::cli {
+namespace {
 
-int run_badday(const BadDayOptions& options, const service::System& system) {
-  badday::Script script = options.script.empty()
+namespace fs = std::filesystem;
+
+badday::Script load_script(const BadDayOptions& options) {
+  badday::Script script = options.script_file.empty()
                               ? badday::parse_script(kBadDayScript, "built-in script")
-                              : badday::parse_script(read_file(options.script), options.script);
-  if (options.length_s > 0)
-    script.length_us = std::min(script.length_us, static_cast<TimeUs>(options.length_s * 1e6));
-  std::erase_if(script.events, [&](const badday::Event& e) { return e.at >= script.length_us; });
-  const bool temporary = options.report.empty();
-  const std::filesystem::path folder = temporary ? std::filesystem::temp_directory_path() /
-                                                       ("sablelink-badday-" + std::to_string(system.random()))
-                                                 : std::filesystem::path(options.report);
-  std::filesystem::create_directories(folder);
-  for (int i = 0; i < script.nodes; ++i)  // records of an earlier day would be taken for this one's
-    std::filesystem::remove(folder / ("n" + std::to_string(i) + ".rec"));
+                              : badday::parse_script(read_file(options.script_file), options.script_file);
+  if (options.max_length_s > 0) {
+    script.length_us = std::min(script.length_us, static_cast<TimeUs>(options.max_length_s * 1e6));
+  }
+  std::erase_if(script.events, [&](const badday::Event& event) { return event.at >= script.length_us; });
+  return script;
+}
+
+// Creates the folder and removes the records of an earlier drill, which would be taken for this one's.
+void prepare_folder(const fs::path& folder, int nodes) {
+  std::error_code error;
+  fs::create_directories(folder, error);
+  for (int i = 0; i < nodes && !error; ++i) {
+    fs::remove(folder / ("n" + std::to_string(i) + ".rec"), error);
+  }
+  if (error) throw CommandError(folder.string() + " can't be used: " + error.message());
+}
+
+void print_node_event(const nodes::NodeEvent& event) {
+  static constexpr const char* kKinds[] = {"started", "arrived", "ended", "fell"};
+  static constexpr const char* kEnds[] = {"answered", "error", "refused", "cancelled", "broken"};
+  std::printf("%lld %s %s attempt %d %s", static_cast<long long>(event.at), event.node.c_str(),
+              event.request.c_str(), event.attempt, kKinds[static_cast<int>(event.kind)]);
+  if (event.kind == nodes::NodeEvent::Kind::kEnded) {
+    std::printf(" %s, %s, %s", kEnds[static_cast<int>(event.end)], event.ran ? "ran" : "never ran",
+                event.done ? "work done" : "work not done");
+  }
+  std::printf("\n");
+}
+
+void print_events_of(const std::string& tag, std::vector<nodes::NodeEvent> events) {
+  std::stable_sort(events.begin(), events.end(),
+                   [](const nodes::NodeEvent& a, const nodes::NodeEvent& b) { return a.at < b.at; });
+  for (const nodes::NodeEvent& event : events) {
+    if (event.tag == tag) print_node_event(event);
+  }
+}
+
+}  // namespace
+
+int run_badday(const BadDayOptions& options, const service::System& system) {
+  const badday::Script script = load_script(options);
+  const bool is_temporary = options.report_folder.empty();
+  const fs::path folder =
+      is_temporary ? fs::temp_directory_path() / ("sablelink-badday-" + std::to_string(system.random()))
+                   : fs::path(options.report_folder);
+  prepare_folder(folder, script.nodes);
   std::printf("a bad day of %.0f s: %d gateways, %d stand-in nodes, about %.0f queries; records in %s\n",
               script.length_us / 1e6, script.gateways, script.nodes, script.rate * script.length_us / 1e6,
               folder.c_str());
   std::fflush(stdout);
-  const badday::DayOptions day{std::filesystem::read_symlink("/proc/self/exe"), folder};
+
+  const badday::DayOptions day{fs::read_symlink("/proc/self/exe"), folder};
   const badday::DayResult result = badday::run_day(script, day, system);
-  const std::string text = audit::render(result.settings, result.report);
-  std::ofstream(folder / "report.txt") << text;
-  std::fputs(text.c_str(), stdout);
+  const std::string report = audit::render(result.settings, result.report);
+  std::ofstream(folder / "report.txt") << report;
+  std::fputs(report.c_str(), stdout);
   if (!result.trouble.empty()) {
     std::fprintf(stderr, "sablelink: the day itself went wrong: %s\n", result.trouble.c_str());
-    return kUsage;
+    return kError;
   }
   if (const int rule = result.report.untouched_rule(); rule != 0) {
     std::fprintf(stderr, "sablelink: rule %d was never at stake on this day, so it proves nothing of it\n",
                  rule);
-    return kUsage;
+    return kError;
   }
-  if (temporary && result.report.clean()) std::filesystem::remove_all(folder);
-  return result.report.clean() ? kServed : kFailed;
+  if (!result.report.clean()) return kFailed;
+  if (is_temporary) fs::remove_all(folder);
+  return kSuccess;
 }
 
-int run_audit(const std::vector<std::string>& files, const std::string& tag) {
-  audit::AuditSettings settings;
+int run_audit(const std::vector<std::string>& record_files, const std::string& tag) {
   audit::Records records;
-  for (const std::string& file : files)
-    for (nodes::NodeEvent& e : nodes::read_records(file)) records.nodes.push_back(std::move(e));
+  for (const std::string& file : record_files) {
+    std::vector<nodes::NodeEvent> events = nodes::read_records(file);
+    std::move(events.begin(), events.end(), std::back_inserter(records.nodes));
+  }
   if (!tag.empty()) {
-    static constexpr const char* kKinds[] = {"started", "arrived", "ended", "fell"};
-    static constexpr const char* kEnds[] = {"answered", "error", "refused", "cancelled", "broken"};
-    std::stable_sort(records.nodes.begin(), records.nodes.end(),
-                     [](const nodes::NodeEvent& a, const nodes::NodeEvent& b) { return a.at < b.at; });
-    for (const nodes::NodeEvent& e : records.nodes) {
-      if (e.tag != tag) continue;
-      std::printf("%lld %s %s attempt %d %s", static_cast<long long>(e.at), e.node.c_str(), e.request.c_str(),
-                  e.attempt, kKinds[static_cast<int>(e.kind)]);
-      if (e.kind == nodes::NodeEvent::Kind::kEnded)
-        std::printf(" %s, %s, %s", kEnds[static_cast<int>(e.end)], e.ran ? "ran" : "never ran",
-                    e.done ? "work done" : "work not done");
-      std::printf("\n");
-    }
-    return kServed;
+    print_events_of(tag, std::move(records.nodes));
+    return kSuccess;
   }
+  const audit::AuditSettings settings;
   const audit::Report report = audit::audit(settings, records);
   std::fputs(audit::render(settings, report).c_str(), stdout);
-  return report.clean() ? kServed : kFailed;
+  return report.clean() ? kSuccess : kFailed;
 }
 
 }  // namespace sablelink::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,115 +1,179 @@
-// The command line. Everything that the system alone can tell (time, random numbers, arguments, signals)
-// enters here and is passed down.
+// The command line. Whatever only the system can tell (time, random numbers, arguments, signals) enters here
+// and is passed down.
 #include <google/protobuf/stubs/logging.h>
 
 #include <CLI/CLI.hpp>
 #include <chrono>
+#include <cstdint>
 #include <cstdio>
 #include <exception>
+#include <functional>
+#include <memory>
 #include <random>
+#include <string>
+#include <vector>
 
 #include "cli/commands.h"
+#include "service/system.h"
 #include "workload/error.h"
 
-int main(int argc, char** argv) {
-  using namespace sablelink;  // NOLINT
+namespace sablelink::cli {
+namespace {
+
+// What the arguments ask for; set while they are parsed, run afterwards.
+using Command = std::function<int()>;
+
+service::System operating_system() {
   service::System system;
   system.wall = [] { return std::chrono::system_clock::now(); };
   system.steady = [] { return std::chrono::steady_clock::now(); };
   system.random = [device = std::make_shared<std::random_device>()] {
     return uint64_t{(*device)()} << 32 | (*device)();
   };
+  return system;
+}
 
-  CLI::App app{"sablelink: admits queries and routes them to analytic engines"};
-  app.require_subcommand(1);
-  app.set_version_flag("--version", "sablelink 0.2.0");
+// Each of the following adds a subcommand, which sets the command where the arguments name it.
 
-  auto* const up = app.add_subcommand("up", "One gateway with four stand-in nodes, for trying it out");
-  cli::UpOptions up_options;
-  up->add_option("--listen", up_options.listen, "Where Flight SQL is served")->capture_default_str();
-  up->add_option("--nodes", up_options.nodes, "How many stand-in nodes")
+void add_up(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const up = app.add_subcommand("up", "One gateway with stand-in nodes, for trying it out");
+  const auto options = std::make_shared<UpOptions>();
+  up->add_option("--listen", options->listen_address, "Where Flight SQL is served")->capture_default_str();
+  up->add_option("--nodes", options->engines, "How many stand-in nodes")
       ->capture_default_str()
       ->check(CLI::Range(1, 64));
+  up->callback(
+      [options, &system, &command] { command = [options, &system] { return run_up(*options, system); }; });
+}
 
-  auto* const gateway = app.add_subcommand("gateway", "A gateway, as its configuration tells");
-  std::string config;
-  gateway->add_option("--config", config, "The configuration")->required();
+void add_gateway(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const gateway = app.add_subcommand("gateway", "Run a gateway");
+  const auto config_file = std::make_shared<std::string>();
+  gateway->add_option("--config", *config_file, "The configuration")->required();
+  gateway->callback([config_file, &system, &command] {
+    command = [config_file, &system] { return run_gateway(*config_file, system); };
+  });
+}
 
-  auto* const serve = app.add_subcommand("serve", "A gateway on the users' platform");
-  bool on_platform = false;
-  serve->add_flag("--platform", on_platform, "By the platform's protocol, as BALANCER_CONFIG tells")
+void add_serve(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const serve = app.add_subcommand("serve", "Run a gateway on the users' platform");
+  serve->add_flag("--platform")
+      ->description("Use the platform's protocol and the configuration that BALANCER_CONFIG names")
       ->required();
+  serve->callback([&system, &command] { command = [&system] { return run_platform(system); }; });
+}
 
-  auto* const node = app.add_subcommand("node", "A stand-in node, as its configuration tells");
-  node->add_option("--config", config, "The configuration")->required();
+void add_node(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const node = app.add_subcommand("node", "Run a stand-in node");
+  const auto config_file = std::make_shared<std::string>();
+  node->add_option("--config", *config_file, "The configuration")->required();
+  node->callback([config_file, &system, &command] {
+    command = [config_file, &system] { return run_node(*config_file, system); };
+  });
+}
 
-  auto* const config_command = app.add_subcommand("config", "Work on configurations");
-  config_command->require_subcommand(1);
-  auto* const check = config_command->add_subcommand("check", "Check a configuration of a gateway or a node");
-  check->add_option("file", config, "The configuration")->required();
+void add_config(CLI::App& app, Command& command) {
+  CLI::App* const config = app.add_subcommand("config", "Work on configurations");
+  config->require_subcommand(1);
+  CLI::App* const check =
+      config->add_subcommand("check", "Check the configuration of a gateway or of a stand-in node");
+  const auto config_file = std::make_shared<std::string>();
+  check->add_option("file", *config_file, "The configuration")->required();
+  check->callback(
+      [config_file, &command] { command = [config_file] { return run_config_check(*config_file); }; });
+}
 
-  auto* const query = app.add_subcommand("query", "Send a statement and print its answer");
-  cli::QueryOptions query_options;
-  query->add_option("statement", query_options.statement, "SQL")->required();
-  query->add_option("--endpoint", query_options.endpoint, "Where a gateway listens")->capture_default_str();
-  query->add_option("--timeout", query_options.timeout_s, "How long to wait, in seconds")
-      ->capture_default_str();
-  query->add_option("--header", query_options.headers, "A header as name=value; may be repeated");
-  query->add_flag("--json", query_options.json, "Rows as JSON lines");
-  query->add_flag("--update", query_options.update, "Run as an update, with a count as answer");
-  query->footer("Exit codes: 0 served, 3 refused (trying again is harmless), 4 failed, 1 wrong usage");
-
-  auto* const badday = app.add_subcommand("badday", "Run a scripted bad day and audit it from the sockets");
-  cli::BadDayOptions day_options;
-  badday->add_option("--script", day_options.script, "Another script than the built-in one");
-  badday->add_option("--report", day_options.report,
+void add_query(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const query = app.add_subcommand("query", "Send a statement and print its result");
+  const auto options = std::make_shared<QueryOptions>();
+  query->add_option("statement", options->statement, "SQL")->required();
+  query->add_option("--endpoint", options->endpoint, "Where a gateway listens")->capture_default_str();
+  query->add_option("--timeout", options->timeout_s, "How long to wait, in seconds")->capture_default_str();
+  query->add_option("--header", options->headers, "A header as name=value; may be repeated");
+  query->add_flag("--json", options->json, "Print rows as JSON lines");
+  query->add_flag("--update", options->update, "Run as an update, whose result is a number of rows");
+  query->footer("Exit codes: 0 served, 3 rejected (trying again is harmless), 4 failed, 1 wrong usage");
+  query->callback(
+      [options, &system, &command] { command = [options, &system] { return run_query(*options, system); }; });
+}
+
+void add_badday(CLI::App& app, const service::System& system, Command& command) {
+  CLI::App* const badday = app.add_subcommand("badday", "Run a scripted fault drill and audit it");
+  const auto options = std::make_shared<BadDayOptions>();
+  badday->add_option("--script", options->script_file, "Another script than the built-in one");
+  badday->add_option("--report", options->report_folder,
                      "Folder for the report, records, logs and configurations");
-  badday->add_option("--length", day_options.length_s, "End the day after so many seconds");
-  badday->footer("Exit codes: 0 all rules kept, 4 a rule broke, 1 the day itself went wrong");
+  badday->add_option("--length", options->max_length_s, "End the drill after this many seconds");
+  badday->footer("Exit codes: 0 all rules kept, 4 a rule was broken, 1 the drill itself failed");
+  badday->callback([options, &system, &command] {
+    command = [options, &system] { return run_badday(*options, system); };
+  });
+}
 
-  auto* const audit = app.add_subcommand("audit", "Audit records of stand-in nodes");
-  std::vector<std::string> records;
-  audit->add_option("records", records, "Record files")->required();
-  std::string tag;
-  audit->add_option("--tag", tag, "Print what the records hold of this request instead");
-  audit->footer("Exit codes: 0 clean, 4 a rule broke");
+void add_audit(CLI::App& app, Command& command) {
+  CLI::App* const audit = app.add_subcommand("audit", "Audit records of stand-in nodes");
+  const auto record_files = std::make_shared<std::vector<std::string>>();
+  const auto tag = std::make_shared<std::string>();
+  audit->add_option("records", *record_files, "Record files")->required();
+  audit->add_option("--tag", *tag, "Print what the records have of this request instead");
+  audit->footer("Exit codes: 0 all rules kept, 4 a rule was broken");
+  audit->callback([record_files, tag, &command] {
+    command = [record_files, tag] { return run_audit(*record_files, *tag); };
+  });
+}
 
-  auto* const simulate =
+void add_simulate(CLI::App& app, Command& command) {
+  CLI::App* const simulate =
       app.add_subcommand("simulate", "Run the gateway's code in seeded worlds on a virtual clock");
-  cli::SimulateOptions sim_options;
-  simulate->add_option("--seeds,--seed", sim_options.seeds, "One seed, or a range like 1..1000");
-  simulate->add_option("--scenario", sim_options.scenario, "A scenario file");
-  simulate->add_option("--corpus", sim_options.corpus,
-                       "Folder of scenarios to run; failing worlds are kept there");
-  simulate->add_option("--jobs", sim_options.jobs, "Worlds at a time")
+  const auto options = std::make_shared<SimulateOptions>();
+  simulate->add_option("--seeds,--seed", options->seeds, "One seed, or a range like 1..1000");
+  simulate->add_option("--scenario", options->scenario_file, "A scenario file");
+  simulate->add_option("--corpus", options->corpus_folder,
+                       "Folder of scenarios to run; failing worlds are written to it");
+  simulate->add_option("--jobs", options->jobs, "Worlds simulated at a time")
       ->capture_default_str()
       ->check(CLI::Range(1, 256));
-  simulate->add_flag("--trace", sim_options.trace, "Print the account of a single world");
-  simulate->add_flag("--shrink", sim_options.shrink, "Cut a failing world down and print it as a scenario");
-  simulate->add_option("--shrink-runs", sim_options.shrink_runs, "Most runs to cut a world down")
+  simulate->add_flag("--trace", options->trace, "Print the event log of a single world");
+  simulate->add_flag("--shrink", options->shrink, "Reduce a failing world and print it as a scenario");
+  simulate->add_option("--shrink-runs", options->max_shrink_runs, "At most this many runs to reduce a world")
       ->capture_default_str();
-  simulate->add_flag("--coverage", sim_options.coverage, "Print which pairs of troubles met");
-  simulate->add_option("--defect", sim_options.defect, "Plant a defect, to see it found")->group("");
-  simulate->footer("Exit codes: 0 all rules kept, 4 a rule or promise broke");
+  simulate->add_flag("--coverage", options->coverage, "Print which pairs of faults overlapped");
+  simulate->add_option("--defect", options->defect, "Plant a defect, to check that it is found")->group("");
+  simulate->footer("Exit codes: 0 all rules kept, 4 a rule was broken");
+  simulate->callback([options, &command] { command = [options] { return run_simulate(*options); }; });
+}
 
+int run(int argc, char** argv) {
+  const service::System system = operating_system();
+  Command command;
+  CLI::App app{"sablelink: admits queries and routes them to analytic engines"};
+  app.require_subcommand(1);
+  app.set_version_flag("--version", "sablelink 0.2.0");
+  add_up(app, system, command);
+  add_gateway(app, system, command);
+  add_serve(app, system, command);
+  add_node(app, system, command);
+  add_config(app, command);
+  add_query(app, system, command);
+  add_badday(app, system, command);
+  add_audit(app, command);
+  add_simulate(app, command);
   CLI11_PARSE(app, argc, argv);
-  // Protobuf would write a line on standard error for each bad message that a client sends; who sent it is
-  // told instead.
+
+  // Protobuf would write to standard error for each malformed message; the client that sent it gets an error
+  // instead.
   google::protobuf::SetLogHandler(nullptr);
   try {
-    if (*up) return cli::run_up(up_options, system);
-    if (*gateway) return cli::run_gateway(config, system);
-    if (*serve) return cli::run_platform(system);
-    if (*node) return cli::run_node(config, system);
-    if (*check) return cli::run_config_check(config);
-    if (*badday) return cli::run_badday(day_options, system);
-    if (*audit) return cli::run_audit(records, tag);
-    if (*simulate) return cli::run_simulate(sim_options);
-    if (*query) return cli::run_query(query_options, system);
+    return command();
   } catch (const Error& e) {
     std::fprintf(stderr, "sablelink: %s\n", e.what());
   } catch (const std::exception& e) {
     std::fprintf(stderr, "sablelink: internal error: %s\n", e.what());
   }
-  return cli::kUsage;
+  return kError;
 }
+
+}  // namespace
+}  // namespace sablelink::cli
+
+int main(int argc, char** argv) { return sablelink::cli::run(argc, argv); }
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -20,34 +20,56 @@
 namespace sablelink::cli {
 namespace {
 
-// SIGTERM and SIGINT ask for the end, SIGHUP for a reload. Made before whatever should not be ended by them.
-class Signals {
+constexpr TimeUs kNodeShutdownGraceUs = 10'000'000;
+
+// SIGTERM and SIGINT ask for a shutdown, SIGHUP for a reload. From its construction on they don't end the
+// process.
+class SignalHandler {
  public:
-  Signals() : set_(context_, SIGTERM, SIGINT, SIGHUP) { wait(); }
-  void on_reload(std::function<void()> fn) { reload_ = std::move(fn); }
-  // Waits in the calling thread, which reloads are called on too.
-  void wait_for_stop() { context_.run(); }
+  struct Callbacks {
+    std::function<void()> on_shutdown;
+    std::function<void()> on_reload;
+  };
+
+  // The callbacks run on the io_context.
+  SignalHandler(boost::asio::io_context& context, Callbacks callbacks)
+      : signals_(context, SIGTERM, SIGINT, SIGHUP), callbacks_(std::move(callbacks)) {
+    wait();
+  }
 
  private:
   void wait() {
-    set_.async_wait([this](const boost::system::error_code& error, int signal) {
-      if (error || signal != SIGHUP) return;
-      if (reload_) reload_();
+    signals_.async_wait([this](const boost::system::error_code& error, int signal) {
+      if (error) return;
+      const auto& callback = signal == SIGHUP ? callbacks_.on_reload : callbacks_.on_shutdown;
+      callback();
       wait();
     });
   }
 
+  boost::asio::signal_set signals_;
+  const Callbacks callbacks_;
+};
+
+// Signals for a program whose work is done on other threads.
+class ForegroundSignals {
+ public:
+  void on_reload(std::function<void()> fn) { reload_ = std::move(fn); }
+  // Returns once the process is asked to shut down. Reloads run on the calling thread until then.
+  void wait_for_shutdown() { context_.run(); }
+
+ private:
+  std::function<void()> reload_ = [] {};
   boost::asio::io_context context_;
-  boost::asio::signal_set set_;
-  std::function<void()> reload_;
+  SignalHandler handler_{context_, {[this] { context_.stop(); }, [this] { reload_(); }}};
 };
 
-void say_ready() {
+void print_ready() {
   std::printf("ready\n");
   std::fflush(stdout);
 }
 
-// The embedded default: one class, safe to repeat, on whatever the stand-ins are.
+// The gateway's configuration under "up"; its engines are added to it.
 constexpr std::string_view kUpConfig = R"(
 [[class]]
 name = "query"
@@ -84,104 +106,95 @@
 
 std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
-  if (!in) throw config::ConfigError(path + ": can't be read");
+  if (!in) throw CommandError(path + ": can't be read");
   return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
 int run_up(const UpOptions& options, const service::System& system) {
-  Signals signals;
+  ForegroundSignals signals;
   config::GatewayConfig config = config::parse_gateway_config(kUpConfig, "embedded");
   config.name = "up";
-  config.listen_address = options.listen;
+  config.listen_address = options.listen_address;
   config.log_level = "warn";
-  std::vector<std::unique_ptr<service::NodeService>> nodes;
-  for (int i = 0; i < options.nodes; ++i) {
-    nodes::NodeConfig node;
-    node.name = "node-" + std::to_string(i + 1);
-    node.listen = "127.0.0.1:0";
-    nodes.push_back(std::make_unique<service::NodeService>(node, system, nullptr));
-    config::EngineConfig entry;
-    entry.name = node.name;
-    entry.address = "127.0.0.1:" + std::to_string(nodes.back()->port());
-    config.engines.push_back(std::move(entry));
+  std::vector<std::unique_ptr<service::NodeService>> emulators;
+  for (int i = 0; i < options.engines; ++i) {
+    nodes::NodeConfig emulator;
+    emulator.name = "node-" + std::to_string(i + 1);
+    emulator.listen = "127.0.0.1:0";
+    emulators.push_back(std::make_unique<service::NodeService>(emulator, system, nullptr));
+    config::EngineConfig engine;
+    engine.name = emulator.name;
+    engine.address = "127.0.0.1:" + std::to_string(emulators.back()->port());
+    config.engines.push_back(std::move(engine));
   }
   service::GatewayService gateway(config, system);
-  say_ready();
-  signals.wait_for_stop();
+  print_ready();
+  signals.wait_for_shutdown();
   gateway.shut_down(config.flight_sql.shutdown_grace_us);
-  return 0;
+  return kSuccess;
 }
 
-int run_gateway(const std::string& file, const service::System& system) {
-  const config::GatewayConfig config = config::parse_gateway_config(read_file(file), file);
-  Signals signals;
+int run_gateway(const std::string& config_file, const service::System& system) {
+  const config::GatewayConfig config = config::parse_gateway_config(read_file(config_file), config_file);
+  ForegroundSignals signals;
   service::GatewayService gateway(config, system);
   const std::unique_ptr<Log> log = service::make_json_log("config", config.log_level);
   signals.on_reload([&] {
     try {
-      gateway.reload(config::parse_gateway_config(read_file(file), file));
+      gateway.reload(config::parse_gateway_config(read_file(config_file), config_file));
     } catch (const Error& e) {
       log->error("reload_rejected", {{"error", e.what()}});
     }
   });
-  say_ready();
-  signals.wait_for_stop();
+  print_ready();
+  signals.wait_for_shutdown();
   gateway.shut_down(config.flight_sql.shutdown_grace_us);
-  return 0;
+  return kSuccess;
 }
 
-int run_node(const std::string& file, const service::System& system) {
-  const nodes::NodeConfig config = nodes::parse_node_config(read_file(file), file);
+int run_node(const std::string& config_file, const service::System& system) {
+  const nodes::NodeConfig config = nodes::parse_node_config(read_file(config_file), config_file);
   std::unique_ptr<nodes::RecordFile> record;
   if (!config.record.empty()) record = std::make_unique<nodes::RecordFile>(config.record);
-  Signals signals;
+  ForegroundSignals signals;
   service::NodeService node(config, system, record.get());
-  say_ready();
-  signals.wait_for_stop();
-  constexpr TimeUs kNodeGraceUs = 10'000'000;
-  node.shut_down(kNodeGraceUs);
-  return 0;
+  print_ready();
+  signals.wait_for_shutdown();
+  node.shut_down(kNodeShutdownGraceUs);
+  return kSuccess;
 }
 
 int run_platform(const service::System& system) {
-  const char* const file = std::getenv("BALANCER_CONFIG");
-  if (file == nullptr) throw platform::ConfigError("BALANCER_CONFIG names no file");
-  service::PlatformService gateway(platform::parse_config(read_file(file)), system);
-  boost::asio::signal_set signals(gateway.loop().context(), SIGTERM, SIGINT, SIGHUP);
-  std::function<void()> wait = [&] {
-    signals.async_wait([&](const boost::system::error_code& error, int signal) {
-      if (error) return;
-      if (signal == SIGHUP) {
-        try {
-          gateway.reload(platform::parse_config(read_file(file)));
-        } catch (const Error& e) {
-          std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
-        }
-      } else {
-        gateway.start_graceful_shutdown();
-      }
-      wait();
-    });
+  const char* const config_file = std::getenv("BALANCER_CONFIG");
+  if (config_file == nullptr) throw CommandError("BALANCER_CONFIG names no file");
+  service::PlatformService gateway(platform::parse_config(read_file(config_file)), system);
+  const auto reload = [&] {
+    try {
+      gateway.reload(platform::parse_config(read_file(config_file)));
+    } catch (const Error& e) {
+      std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
+    }
   };
-  wait();
-  say_ready();
+  SignalHandler signals(gateway.loop().context(), {[&] { gateway.start_graceful_shutdown(); }, reload});
+  print_ready();
   gateway.run();
-  return 0;
+  return kSuccess;
 }
 
-int run_config_check(const std::string& file) {
-  const std::string text = read_file(file);
-  // A node's configuration has a [node], a gateway's has [[node]]s.
-  const bool is_node = config::Section::parse(text, file).has_table("node");
-  if (is_node) {
-    nodes::parse_node_config(text, file);
+int run_config_check(const std::string& config_file) {
+  const std::string text = read_file(config_file);
+  // An engine emulator's configuration has a [node], a gateway's has [[node]]s.
+  const bool is_emulator = config::Section::parse(text, config_file).has_table("node");
+  if (is_emulator) {
+    nodes::parse_node_config(text, config_file);
   } else {
-    const config::GatewayConfig c = config::parse_gateway_config(text, file);
-    std::printf("%s: gateway '%s', %zu classes, %zu selectors, %zu nodes\n", file.c_str(), c.name.c_str(),
-                c.class_names.size(), c.selectors.selectors.size(), c.engines.size());
+    const config::GatewayConfig config = config::parse_gateway_config(text, config_file);
+    std::printf("%s: gateway '%s', %zu classes, %zu selectors, %zu nodes\n", config_file.c_str(),
+                config.name.c_str(), config.class_names.size(), config.selectors.selectors.size(),
+                config.engines.size());
   }
-  std::printf("%s: good\n", file.c_str());
-  return 0;
+  std::printf("%s: good\n", config_file.c_str());
+  return kSuccess;
 }
 
 }  // namespace sablelink::cli
--- a/src/cli/simulate.cpp
+++ b/src/cli/simulate.cpp
@@ -8,203 +8,298 @@
 #include <fstream>
 #include <map>
 #include <mutex>
+#include <optional>
+#include <system_error>
 #include <thread>
 
 #include "audit/auditor.h"
 #include "cli/commands.h"
-#include "config/section.h"
 #include "sim/run.h"
 
 namespace sablelink::cli {
 namespace {
 
+namespace fs = std::filesystem;
 using sim::RunOptions;
 using sim::RunResult;
 using sim::Scenario;
 
-sim::Defect defect_named(const std::string& name) {
-  for (int i = 0; i < sim::kDefects; ++i)
-    if (name == sim::defect_name(static_cast<sim::Defect>(i))) return static_cast<sim::Defect>(i);
-  throw config::ConfigError("--defect '" + name + "' is none that is known");
+constexpr size_t kMaxPrintedFindings = 10;  // of one scenario
+constexpr size_t kMaxPrintedFailures = 20;
+
+struct SeedRange {
+  uint64_t first;
+  uint64_t last;
+};
+constexpr SeedRange kDefaultSeeds = {1, 100};
+
+// ---- Arguments
+// -----------------------------------------------------------------------------------------------------
+
+sim::Defect parse_defect(const std::string& name) {
+  for (int i = 0; i < sim::kDefects; ++i) {
+    const auto defect = static_cast<sim::Defect>(i);
+    if (name == sim::defect_name(defect)) return defect;
+  }
+  throw CommandError("--defect '" + name + "' is unknown");
+}
+
+std::optional<uint64_t> parse_number(const std::string& text) {
+  uint64_t value = 0;
+  const char* const text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text_end, value);
+  if (error != std::errc() || end != text_end) return std::nullopt;
+  return value;
 }
 
 // "7" or "1..1000".
-std::pair<uint64_t, uint64_t> parse_seeds(const std::string& text) {
-  const auto number = [&](const std::string& part) {
-    uint64_t value = 0;
-    const auto [end, error] = std::from_chars(part.data(), part.data() + part.size(), value);
-    if (error != std::errc() || end != part.data() + part.size())
-      throw config::ConfigError("--seeds '" + text + "' is neither a number nor like 1..1000");
-    return value;
-  };
+SeedRange parse_seeds(const std::string& text) {
   const size_t dots = text.find("..");
-  if (dots == std::string::npos) return {number(text), number(text)};
-  const std::pair<uint64_t, uint64_t> range(number(text.substr(0, dots)), number(text.substr(dots + 2)));
-  if (range.first > range.second) throw config::ConfigError("--seeds '" + text + "' runs backwards");
-  return range;
+  const std::optional<uint64_t> first = parse_number(text.substr(0, dots));
+  const std::optional<uint64_t> last =
+      dots == std::string::npos ? first : parse_number(text.substr(dots + 2));
+  if (!first || !last) {
+    throw CommandError("--seeds '" + text + "' is neither a number nor a range such as 1..1000");
+  }
+  if (*first > *last) throw CommandError("--seeds '" + text + "' has its end before its start");
+  return {*first, *last};
+}
+
+std::vector<std::string> corpus_files(const std::string& folder) {
+  std::vector<std::string> files;
+  std::error_code error;
+  for (fs::directory_iterator entry(folder, error), end; !error && entry != end; entry.increment(error)) {
+    if (entry->path().extension() == ".toml") files.push_back(entry->path());
+  }
+  if (error) throw CommandError(folder + " can't be read: " + error.message());
+  std::sort(files.begin(), files.end());
+  return files;
 }
 
-void print_findings(const RunResult& r) {
-  size_t shown = 0;
-  for (const audit::Finding& f : r.findings) {
-    if (++shown > 10) {
-      std::printf("  ... and %zu more\n", r.findings.size() - 10);
-      break;
+// The scenarios to run: given ones first, those made from seeds after them.
+class ScenarioList {
+ public:
+  explicit ScenarioList(const SimulateOptions& options) {
+    if (!options.scenario_file.empty()) add_file(options.scenario_file);
+    if (!options.corpus_folder.empty() && fs::is_directory(options.corpus_folder)) {
+      for (const std::string& file : corpus_files(options.corpus_folder)) add_file(file);
+    }
+    if (!options.seeds.empty()) {
+      seeds_ = parse_seeds(options.seeds);
+    } else if (given_.empty()) {
+      seeds_ = kDefaultSeeds;
     }
-    if (f.rule == 0)
-      std::printf("  broken: %s\n", f.what.c_str());
-    else
-      std::printf("  rule %d: %s\n", f.rule, f.what.c_str());
   }
+
+  uint64_t size() const {
+    const uint64_t seeded = seeds_ ? seeds_->last - seeds_->first + 1 : 0;
+    return given_.size() + seeded;
+  }
+
+  Scenario at(uint64_t index) const {
+    if (index < given_.size()) return given_[index];
+    return sim::make_scenario(seeds_->first + (index - given_.size()));
+  }
+
+ private:
+  void add_file(const std::string& file) { given_.push_back(sim::parse_scenario(read_file(file), file)); }
+
+  std::vector<Scenario> given_;
+  std::optional<SeedRange> seeds_;
+};
+
+// ---- Output
+// --------------------------------------------------------------------------------------------------------
+
+void print_findings(const std::vector<audit::Finding>& findings) {
+  const size_t printed = std::min(findings.size(), kMaxPrintedFindings);
+  for (size_t i = 0; i < printed; ++i) {
+    const audit::Finding& finding = findings[i];
+    if (finding.rule == 0) {
+      std::printf("  broken: %s\n", finding.what.c_str());
+    } else {
+      std::printf("  rule %d: %s\n", finding.rule, finding.what.c_str());
+    }
+  }
+  if (printed < findings.size()) std::printf("  ... and %zu more\n", findings.size() - printed);
 }
 
-std::string ends_text(const sim::Ends& ends) {
+std::string format_ends(const sim::Ends& ends) {
   constexpr const char* kNames[audit::ClientRecord::kEnds] = {"served",     "refused", "failed",
                                                               "unanswered", "left",    "out of reach"};
   std::string text;
-  for (size_t i = 0; i < ends.count.size(); ++i)
-    text += (i == 0 ? "" : ", ") + std::string(kNames[i]) + " " + std::to_string(ends.count[i]);
+  for (size_t i = 0; i < ends.count.size(); ++i) {
+    if (i > 0) text += ", ";
+    text += std::string(kNames[i]) + " " + std::to_string(ends.count[i]);
+  }
   return text;
 }
 
-void print_run(const Scenario& s, const RunResult& r) {
+void print_run(const Scenario& scenario, const RunResult& result) {
   std::printf("%s: %zu requests, %zu troubles: %s; attempts %" PRIu64 ", further ones %" PRIu64 "; %" PRIu64
               " steps, digest %016" PRIx64 "\n",
-              s.name.c_str(), s.requests.size(), s.troubles.size(), ends_text(r.ends).c_str(), r.attempts,
-              r.further_attempts, r.steps, r.digest);
-  print_findings(r);
+              scenario.name.c_str(), scenario.requests.size(), scenario.troubles.size(),
+              format_ends(result.ends).c_str(), result.attempts, result.further_attempts, result.steps,
+              result.digest);
+  print_findings(result.findings);
 }
 
 void print_coverage(const sim::Pairs& pairs) {
   std::printf("\ntroubles met (their number in all worlds) and pairs that overlapped:\n");
-  size_t met = 0, all = 0;
-  std::string never;
+  size_t met = 0;
+  size_t all = 0;
+  std::string never_met;
   for (int a = 0; a < sim::kTroubles; ++a) {
-    uint64_t with = 0;
-    for (int b = 0; b < sim::kTroubles; ++b) with += pairs[std::min(a, b)][std::max(a, b)];
-    std::printf("  %-16s in %" PRIu64 " pairs\n", sim::trouble_name(static_cast<sim::Trouble>(a)), with);
+    const std::string name_a = sim::trouble_name(static_cast<sim::Trouble>(a));
+    uint64_t pairs_with_a = 0;
+    for (int b = 0; b < sim::kTroubles; ++b) pairs_with_a += pairs[std::min(a, b)][std::max(a, b)];
+    std::printf("  %-16s in %" PRIu64 " pairs\n", name_a.c_str(), pairs_with_a);
     for (int b = a; b < sim::kTroubles; ++b) {
       ++all;
       if (pairs[a][b] > 0) {
         ++met;
       } else {
-        never += std::string("  ") + sim::trouble_name(static_cast<sim::Trouble>(a)) + " with " +
-                 sim::trouble_name(static_cast<sim::Trouble>(b)) + "\n";
+        never_met += "  " + name_a + " with " + sim::trouble_name(static_cast<sim::Trouble>(b)) + "\n";
       }
     }
   }
   std::printf("pairs met: %zu of %zu\n", met, all);
-  if (!never.empty()) std::printf("never met:\n%s", never.c_str());
+  if (!never_met.empty()) std::printf("never met:\n%s", never_met.c_str());
 }
 
-// Writes a failing world out, cut down where asked for.
-void keep(const Scenario& s, const RunOptions& run_options, const RunResult& r,
-          const SimulateOptions& options) {
-  Scenario out = s;
+// Writes a failing scenario to the corpus, or prints it; reduced first where that is asked for.
+void export_failure(const Scenario& scenario, const RunOptions& run_options, const RunResult& result,
+                    const SimulateOptions& options) {
+  Scenario exported = scenario;
   if (options.shrink) {
-    out = sim::shrink(s, run_options, r.findings.front().rule, options.shrink_runs);
-    std::printf("cut down to %zu requests and %zu troubles:\n", out.requests.size(), out.troubles.size());
-    if (options.corpus.empty()) std::fputs(sim::to_toml(out).c_str(), stdout);
+    exported = sim::shrink(scenario, run_options, result.findings.front().rule, options.max_shrink_runs);
+    std::printf("cut down to %zu requests and %zu troubles:\n", exported.requests.size(),
+                exported.troubles.size());
+    if (options.corpus_folder.empty()) std::fputs(sim::to_toml(exported).c_str(), stdout);
   }
-  if (options.corpus.empty()) return;
-  std::filesystem::create_directories(options.corpus);
-  const std::string file = options.corpus + "/seed-" + std::to_string(s.seed) + ".toml";
-  std::ofstream(file) << sim::to_toml(out);
+  if (options.corpus_folder.empty()) return;
+  std::error_code error;
+  fs::create_directories(options.corpus_folder, error);
+  if (error) throw CommandError(options.corpus_folder + " can't be created: " + error.message());
+  const std::string file = options.corpus_folder + "/seed-" + std::to_string(scenario.seed) + ".toml";
+  std::ofstream(file) << sim::to_toml(exported);
   std::printf("kept as %s\n", file.c_str());
 }
 
-}  // namespace
+// ---- Runs
+// ----------------------------------------------------------------------------------------------------------
 
-int run_simulate(const SimulateOptions& options) {
-  RunOptions run_options;
-  run_options.defect = defect_named(options.defect);
-  run_options.keep_account = options.trace;
-  std::vector<Scenario> told;
-  if (!options.scenario.empty())
-    told.push_back(sim::parse_scenario(read_file(options.scenario), options.scenario));
-  if (!options.corpus.empty() && std::filesystem::is_directory(options.corpus)) {
-    std::vector<std::string> files;
-    for (const auto& entry : std::filesystem::directory_iterator(options.corpus))
-      if (entry.path().extension() == ".toml") files.push_back(entry.path());
-    std::sort(files.begin(), files.end());
-    for (const std::string& file : files) told.push_back(sim::parse_scenario(read_file(file), file));
+// The results of many scenarios, added up.
+class Totals {
+ public:
+  // From any thread.
+  void add(uint64_t index, const Scenario& scenario, RunResult result) {
+    const std::lock_guard lock(mutex_);
+    sim::count_pairs(scenario, &fault_pairs_);
+    sum_.steps += result.steps;
+    sum_.simulated_us += result.simulated_us;
+    sum_.attempts += result.attempts;
+    sum_.further_attempts += result.further_attempts;
+    sum_.plans += result.plans;
+    sum_.streams += result.streams;
+    sum_.bound_reached += result.bound_reached;
+    sum_.left_unread += result.left_unread;
+    sum_.ends += result.ends;
+    sum_.counts += result.counts;
+    digest_ += result.digest * (2 * index + 1);  // doesn't depend on the order of the calls
+    sum_.findings.insert(sum_.findings.end(), result.findings.begin(), result.findings.end());
+    if (!result.findings.empty()) failures_.emplace(index, std::move(result));
   }
-  std::pair<uint64_t, uint64_t> seeds(1, 0);
-  if (!options.seeds.empty())
-    seeds = parse_seeds(options.seeds);
-  else if (told.empty())
-    seeds = {1, 100};
-  const uint64_t drawn = seeds.first <= seeds.second ? seeds.second - seeds.first + 1 : 0;
-  const uint64_t count = told.size() + drawn;
-  const auto world = [&](uint64_t i) {
-    return i < told.size() ? told[i] : sim::make_scenario(seeds.first + (i - told.size()));
-  };
-  if (count == 1) {
-    const Scenario s = world(0);
-    const RunResult r = sim::run(s, run_options);
-    if (options.trace) std::fputs(r.account.c_str(), stdout);
-    print_run(s, r);
-    if (r.findings.empty()) return kServed;
-    if (options.shrink) keep(s, run_options, r, options);
-    return kFailed;
+
+  void print(uint64_t scenarios, double elapsed_s, int jobs) const {
+    const double simulated_s = sum_.simulated_us / 1e6;
+    std::printf("\n%" PRIu64 " worlds, digest %016" PRIx64 ": %s; attempts %" PRIu64 ", further ones %" PRIu64
+                "; planning calls %" PRIu64 "\n",
+                scenarios, digest_, format_ends(sum_.ends).c_str(), sum_.attempts, sum_.further_attempts,
+                sum_.plans);
+    std::printf("answers that flowed %" PRIu64 ", %" PRIu64
+                " of them by the total bound; clients that left unread bytes %" PRIu64 "\n",
+                sum_.streams, sum_.bound_reached, sum_.left_unread);
+    std::fputs(audit::render_rules(sum_.findings, sum_.counts).c_str(), stdout);
+    std::printf("%.1f s simulated in %.2f s on %d threads (%.0f times), %" PRIu64 " steps\n", simulated_s,
+                elapsed_s, jobs, simulated_s / elapsed_s, sum_.steps);
+    if (failures_.empty()) {
+      std::printf("simulation: clean\n");
+    } else {
+      std::printf("simulation: %zu of %" PRIu64 " worlds broke a rule\n", failures_.size(), scenarios);
+    }
   }
 
-  // Worlds share nothing; what is printed comes in their order, however many threads there are.
-  const auto begin = std::chrono::steady_clock::now();
+  // By the scenario's index.
+  const std::map<uint64_t, RunResult>& failures() const { return failures_; }
+  const sim::Pairs& fault_pairs() const { return fault_pairs_; }
+
+ private:
+  std::mutex mutex_;
+  std::map<uint64_t, RunResult> failures_;
+  sim::Pairs fault_pairs_{};
+  RunResult sum_;
+  uint64_t digest_ = 0;
+};
+
+int run_one(const Scenario& scenario, const RunOptions& run_options, const SimulateOptions& options) {
+  const RunResult result = sim::run(scenario, run_options);
+  if (options.trace) std::fputs(result.account.c_str(), stdout);
+  print_run(scenario, result);
+  if (result.findings.empty()) return kSuccess;
+  if (options.shrink) export_failure(scenario, run_options, result, options);
+  return kFailed;
+}
+
+// Scenarios share no state, so that the results don't depend on the number of threads.
+void run_in_parallel(const ScenarioList& scenarios, const RunOptions& run_options, int jobs, Totals& totals) {
   std::atomic<uint64_t> next{0};
-  std::mutex mutex;
-  std::map<uint64_t, RunResult> broken;
-  sim::Pairs pairs{};
-  RunResult sum;
-  uint64_t digest = 0;
   const auto worker = [&] {
-    for (uint64_t i = next++; i < count; i = next++) {
-      const Scenario s = world(i);
-      RunResult r = sim::run(s, run_options);
-      const std::lock_guard lock(mutex);
-      sim::count_pairs(s, &pairs);
-      sum.steps += r.steps;
-      sum.simulated_us += r.simulated_us;
-      sum.attempts += r.attempts;
-      sum.further_attempts += r.further_attempts;
-      sum.plans += r.plans;
-      sum.streams += r.streams;
-      sum.bound_reached += r.bound_reached;
-      sum.left_unread += r.left_unread;
-      sum.ends += r.ends;
-      sum.counts += r.counts;
-      digest += r.digest * (2 * i + 1);  // whatever the order
-      sum.findings.insert(sum.findings.end(), r.findings.begin(), r.findings.end());
-      if (!r.findings.empty()) broken.emplace(i, std::move(r));
+    for (uint64_t i = next++; i < scenarios.size(); i = next++) {
+      const Scenario scenario = scenarios.at(i);
+      totals.add(i, scenario, sim::run(scenario, run_options));
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < options.jobs; ++i) threads.emplace_back(worker);
-  for (std::thread& t : threads) t.join();
-  const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-
-  size_t shown = 0;
-  for (const auto& [i, r] : broken) {
-    if (++shown > 20) break;
-    const Scenario s = world(i);
-    print_run(s, r);
-    if (shown == 1 || !options.corpus.empty()) keep(s, run_options, r, options);
+  threads.reserve(jobs);
+  for (int i = 0; i < jobs; ++i) threads.emplace_back(worker);
+  for (std::thread& thread : threads) thread.join();
+}
+
+void report_failures(const Totals& totals, const ScenarioList& scenarios, const RunOptions& run_options,
+                     const SimulateOptions& options) {
+  size_t printed = 0;
+  for (const auto& [index, result] : totals.failures()) {
+    if (++printed > kMaxPrintedFailures) break;
+    const Scenario scenario = scenarios.at(index);
+    print_run(scenario, result);
+    const bool is_first = printed == 1;
+    if (is_first || !options.corpus_folder.empty()) {
+      export_failure(scenario, run_options, result, options);
+    }
   }
-  if (options.coverage) print_coverage(pairs);
-  std::printf("\n%" PRIu64 " worlds, digest %016" PRIx64 ": %s; attempts %" PRIu64 ", further ones %" PRIu64
-              "; planning calls %" PRIu64 "\n",
-              count, digest, ends_text(sum.ends).c_str(), sum.attempts, sum.further_attempts, sum.plans);
-  std::printf("answers that flowed %" PRIu64 ", %" PRIu64
-              " of them by the total bound; clients that left unread bytes %" PRIu64 "\n",
-              sum.streams, sum.bound_reached, sum.left_unread);
-  std::fputs(audit::render_rules(sum.findings, sum.counts).c_str(), stdout);
-  std::printf("%.1f s simulated in %.2f s on %d threads (%.0f times), %" PRIu64 " steps\n",
-              sum.simulated_us / 1e6, took, options.jobs, sum.simulated_us / 1e6 / took, sum.steps);
-  if (broken.empty())
-    std::printf("simulation: clean\n");
-  else
-    std::printf("simulation: %zu of %" PRIu64 " worlds broke a rule\n", broken.size(), count);
-  return broken.empty() ? kServed : kFailed;
+}
+
+int run_many(const ScenarioList& scenarios, const RunOptions& run_options, const SimulateOptions& options) {
+  const auto start = std::chrono::steady_clock::now();
+  Totals totals;
+  run_in_parallel(scenarios, run_options, options.jobs, totals);
+  const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start;
+  report_failures(totals, scenarios, run_options, options);
+  if (options.coverage) print_coverage(totals.fault_pairs());
+  totals.print(scenarios.size(), elapsed.count(), options.jobs);
+  return totals.failures().empty() ? kSuccess : kFailed;
+}
+
+}  // namespace
+
+int run_simulate(const SimulateOptions& options) {
+  RunOptions run_options;
+  run_options.defect = parse_defect(options.defect);
+  run_options.keep_account = options.trace;
+  const ScenarioList scenarios(options);
+  if (scenarios.size() == 1) return run_one(scenarios.at(0), run_options, options);
+  return run_many(scenarios, run_options, options);
 }
 
 }  // namespace sablelink::cli
