--- a/src/platform/engine_client/connection_pool.h
+++ b/src/platform/engine_client/connection_pool.h
@@ -97,7 +97,7 @@
 
   void dial(const EngineStatePtr& engine);
   rpc::Awaitable<void> run_connection(EngineStatePtr engine);
-  void on_dial_failed(const EngineStatePtr& engine, rpc::ConnectEnd end);
+  void on_dial_failed(const EngineStatePtr& engine, rpc::ConnectStatus status);
   void on_bytes(const EngineStatePtr& engine, const ConnectionPtr& connection,
                 const std::optional<std::string>& bytes);
   void on_response_complete(const EngineStatePtr& engine, const ConnectionPtr& connection, bool reusable);
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -16,7 +16,7 @@
 
 rpc::GrpcClientOptions client_options(const config::FlightSqlLimits& limits) {
   rpc::GrpcClientOptions options;
-  options.max_message_bytes = static_cast<int>(limits.message_bytes);
+  options.max_message_bytes = static_cast<int>(limits.max_message_bytes);
   return options;
 }
 
@@ -32,7 +32,7 @@
       channels_(client_options(config_.flight_sql), loop_),
       core_(std::make_unique<GatewayCore>(config_, GatewaySeeds::draw(system.random),
                                           GatewayDependencies{loop_.executor(), loop_, channels_, *log_})) {
-  loop_.run([this] { core_->start(); });
+  loop_.post_and_wait([this] { core_->start(); });
   try {
     server_ = start_server();
   } catch (const rpc::ListenError&) {
@@ -40,15 +40,15 @@
     throw;
   }
   log_->info("started", {{"name", config_.name},
-                         {"listen", config_.listen},
+                         {"listen", config_.listen_address},
                          {"port", std::to_string(server_->port())},
                          {"engines", std::to_string(config_.engines.size())}});
 }
 
 std::unique_ptr<rpc::GrpcServer> GatewayService::start_server() {
   rpc::GrpcServerOptions options;
-  options.address = config_.listen;
-  options.max_message_bytes = static_cast<int>(config_.flight_sql.message_bytes);
+  options.address = config_.listen_address;
+  options.max_message_bytes = static_cast<int>(config_.flight_sql.max_message_bytes);
   return std::make_unique<rpc::GrpcServer>(options, loop_, [this](std::shared_ptr<rpc::ServerCall> call) {
     return core_->handle(std::move(call));
   });
@@ -97,10 +97,10 @@
 void GatewayService::destroy_core() {
   bool all_ended = false;
   while (!all_ended) {
-    loop_.run([&] { all_ended = core_->cancel_attempts(); });
+    loop_.post_and_wait([&] { all_ended = core_->cancel_attempts(); });
     if (!all_ended) std::this_thread::sleep_for(kCancelPollInterval);
   }
-  loop_.run([this] { core_.reset(); });
+  loop_.post_and_wait([this] { core_.reset(); });
 }
 
 // ---- Metrics
@@ -108,21 +108,21 @@
 
 void GatewayService::inspect(
     const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
-  loop_.run([&] { fn(core_->dispatcher(), core_->server()); });
+  loop_.post_and_wait([&] { fn(core_->dispatcher(), core_->server()); });
 }
 
 void GatewayService::log_column_lookups() {
   inspect([this](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& server) {
-    const schemas::Store::Counts& store = server.columns().store().counts();
-    const schemas::Planning::Counts& planning = server.columns().planning().counts();
-    log_->info("column_lookups", {{"requested", std::to_string(planning.asked)},
+    const schemas::SchemaCache::Counts& store = server.columns().store().counts();
+    const schemas::PlanningCoordinator::Counts& planning = server.columns().planning().counts();
+    log_->info("column_lookups", {{"requested", std::to_string(planning.lookups)},
                                   {"cache_hits", std::to_string(store.hits)},
                                   {"cache_misses", std::to_string(store.misses)},
                                   {"planning_calls", std::to_string(planning.calls)},
                                   {"planning_calls_shared", std::to_string(planning.shared)},
                                   {"over_budget", std::to_string(planning.over_budget)},
-                                  {"over_concurrency_limit", std::to_string(planning.too_many)},
-                                  {"learned", std::to_string(store.learned)},
+                                  {"over_concurrency_limit", std::to_string(planning.over_capacity)},
+                                  {"learned", std::to_string(store.inserted)},
                                   {"schema_changes", std::to_string(server.columns().changed())}});
   });
 }
--- a/src/service/node_service.cpp
+++ b/src/service/node_service.cpp
@@ -17,7 +17,7 @@
 
 NodeService::~NodeService() {
   server_->shutdown(0);
-  loop_.run([this] { engine_.reset(); });
+  loop_.post_and_wait([this] { engine_.reset(); });
 }
 
 void NodeService::shut_down(TimeUs grace_us) {
@@ -26,7 +26,7 @@
 }
 
 void NodeService::inspect(const std::function<void(nodes::StandIn&)>& fn) {
-  loop_.run([&] { fn(*engine_); });
+  loop_.post_and_wait([&] { fn(*engine_); });
 }
 
 }  // namespace sablelink::service
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -50,7 +50,7 @@
     : config_(std::move(config)),
       log_(make_json_log("gateway", "info")),
       loop_(system.wall, system.steady),
-      network_(std::make_unique<rpc::TcpNet>(loop_)) {
+      network_(std::make_unique<rpc::TcpTransport>(loop_)) {
   const platform::DescriptorBudget budget = platform::DescriptorBudget::from_limit(config_.max_descriptors);
   endpoint_source_ = std::make_unique<RegistryEndpointSource>(
       endpoint_registry_,
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -13,7 +13,7 @@
 #include "platform/engine_client/engine_client.h"
 #include "platform/http_server.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "service/registry_endpoint_source.h"
 #include "service/system.h"
 
@@ -55,7 +55,7 @@
   const platform::PlatformConfig config_;
   std::unique_ptr<Log> log_;
   rpc::AsioLoop loop_;
-  std::unique_ptr<rpc::TcpNet> network_;
+  std::unique_ptr<rpc::TcpTransport> network_;
   membership::EndpointRegistry endpoint_registry_;
   std::unique_ptr<RegistryEndpointSource> endpoint_source_;
   std::unique_ptr<platform::EngineClient> engine_client_;
--- a/src/sim/defects.cpp
+++ b/src/sim/defects.cpp
@@ -107,8 +107,8 @@
   const std::string& method() const override { return inner_->method(); }
   const rpc::Metadata& metadata() const override { return inner_->metadata(); }
   const std::string& peer() const override { return inner_->peer(); }
-  std::optional<TimeUs> allowed() const override {
-    std::optional<TimeUs> allowed = inner_->allowed();
+  std::optional<TimeUs> client_timeout_us() const override {
+    std::optional<TimeUs> allowed = inner_->client_timeout_us();
     if (allowed && defect_ == Defect::kAnswerLate) *allowed += kLateUs;
     return allowed;
   }
@@ -187,7 +187,8 @@
   if (defect_ == Defect::kBudgetIgnored) s.retry_budget_enabled = false;
   if (defect_ == Defect::kColdIgnored)
     s.collapse_window_us = 0, s.slow_start_min_capacity_fraction = 1, s.slow_start_duration_us = 0;
-  if (defect_ == Defect::kPlanUnbounded) config->planning.free = config->planning.at_once = 1'000'000;
+  if (defect_ == Defect::kPlanUnbounded)
+    config->planning.budget_base_calls = config->planning.max_concurrent_calls = 1'000'000;
   spoil(&config->engines);
 }
 
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -121,8 +121,8 @@
     }
     rpc::Awaitable<size_t> write(std::string_view bytes) override { co_return bytes.size(); }
     bool readable() const override { return ++*readable_checks < 0; }
-    bool peer_left() const override { return false; }
-    void end() override {}
+    bool peer_closed() const override { return false; }
+    void shutdown_write() override {}
     void close() override { closed.set(); }
     void reset() override { closed.set(); }
     AsyncEvent closed;
