--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "base/text.h"
+#include "base/ascii.h"
 
 namespace sablelink::http {
 namespace {
@@ -45,7 +45,7 @@
 bool list_contains(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
-    if (lowered(trim_whitespace(list.substr(0, comma))) == token) return true;
+    if (ascii_to_lower(trim_whitespace(list.substr(0, comma))) == token) return true;
     list.remove_prefix(std::min(comma + 1, list.size()));
   }
   return false;
@@ -61,8 +61,7 @@
 
 }  // namespace
 
-// ---- Bytes and status
-// --------------------------------------------------------------------------------------
+// ---- Bytes and status -------------------------------------------------------------------------------
 
 ParseStatus MessageReader::feed(std::string_view bytes) {
   if (status_ == ParseStatus::kMalformed) return status_;
@@ -121,8 +120,7 @@
   return false;
 }
 
-// ---- Start line and fields
-// ---------------------------------------------------------------------------------
+// ---- Start line and fields --------------------------------------------------------------------------
 
 bool MessageReader::parse_element() {
   switch (part_) {
@@ -217,12 +215,11 @@
   if (!is_field_value(value)) return fail(400, "a field's value can't be read");
   if (part_ == Part::kTrailerFields) return true;  // no trailer field is of use here
   if (fields().size() >= limits_.max_fields) return fail(431, "too many fields");
-  fields().emplace_back(lowered(line.substr(0, colon)), value);
+  fields().emplace_back(ascii_to_lower(line.substr(0, colon)), value);
   return true;
 }
 
-// ---- Framing (RFC 9112, 6.3)
-// -------------------------------------------------------------------------------
+// ---- Framing (RFC 9112, 6.3) ------------------------------------------------------------------------
 
 bool MessageReader::on_header_complete() {
   if (!is_request() && response_.status < 200) return skip_interim_response();
@@ -257,7 +254,8 @@
 bool MessageReader::start_chunked_content() {
   if (is_http_1_0_) return fail(400, "Transfer-Encoding in HTTP/1.0");
   const Fields& header = fields();
-  if (count(header, "transfer-encoding") > 1 || lowered(find(header, "transfer-encoding")) != "chunked")
+  if (count(header, "transfer-encoding") > 1 ||
+      ascii_to_lower(find(header, "transfer-encoding")) != "chunked")
     return fail(501, "a transfer coding other than chunked");
   part_ = Part::kChunkSize;
   return true;
@@ -276,8 +274,7 @@
   return true;
 }
 
-// ---- Content
-// -----------------------------------------------------------------------------------------------
+// ---- Content ----------------------------------------------------------------------------------------
 
 bool MessageReader::parse_content() {
   const std::string_view content = unparsed().substr(0, content_bytes_left_);
@@ -327,8 +324,7 @@
   return false;
 }
 
-// ---- Messages
-// ----------------------------------------------------------------------------------------------
+// ---- Messages ---------------------------------------------------------------------------------------
 
 Request RequestReader::take() {
   Request out = std::move(request_);
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 
 namespace sablelink::platform {
 namespace {
@@ -56,7 +56,7 @@
   const WeakPtr<EndpointWatcher> self = weak_factory_.get_weak_ptr();
   TimeUs backoff_us = 0;
   while (true) {
-    if (backoff_us > 0) co_await pause(clock_, backoff_us);
+    if (backoff_us > 0) co_await sleep_for(clock_, backoff_us);
     if (!self || generation != connection_generation_) co_return;
     backoff_us = std::clamp(backoff_us * 2, kMinBackoffUs, kMaxBackoffUs);
     const std::shared_ptr<rpc::ByteStream> stream = co_await dialer_.connect(address, kDialTimeoutUs);
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -71,8 +71,7 @@
       reader_(message_limits(context.options)),
       stage_started_at_(context.clock.now()) {}
 
-// ---- Reading
-// -----------------------------------------------------------------------------------------------
+// ---- Reading ----------------------------------------------------------------------------------------
 
 rpc::Awaitable<void> HttpConnection::run(std::shared_ptr<HttpConnection> self) {
   while (self->stage_ != Stage::kClosed) {
@@ -117,8 +116,7 @@
   }
 }
 
-// ---- Requests
-// ----------------------------------------------------------------------------------------------
+// ---- Requests ---------------------------------------------------------------------------------------
 
 void HttpConnection::process_next_request() {
   if (stage_ != Stage::kReadingRequest) return;
@@ -221,8 +219,7 @@
   }
 }
 
-// ---- Responses
-// ---------------------------------------------------------------------------------------------
+// ---- Responses --------------------------------------------------------------------------------------
 
 void HttpConnection::respond(int status, const http::Fields& fields, const std::string& body,
                              bool keep_alive) {
@@ -250,13 +247,12 @@
     co_return;
   }
   self->enter(Stage::kReadingRequest);
-  self->reading_resumed_.give();
+  self->reading_resumed_.set();
   self->parse_status_ = self->reader_.feed({});
   self->process_next_request();
 }
 
-// ---- Closing
-// -----------------------------------------------------------------------------------------------
+// ---- Closing ----------------------------------------------------------------------------------------
 
 void HttpConnection::enter(Stage stage) {
   stage_ = stage;
@@ -281,7 +277,7 @@
 void HttpConnection::close() {
   if (stage_ == Stage::kClosed) return;
   stage_ = Stage::kClosed;
-  reading_resumed_.give();
+  reading_resumed_.set();
   stream_->close();
   const RequestId id = std::exchange(open_request_, 0);
   if (id == 0) return;
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "base/signal.h"
+#include "base/async_event.h"
 #include "base/weak_ptr.h"
 #include "dispatch/response_sink.h"
 #include "http/reader.h"
@@ -54,7 +54,7 @@
   void abort();
 
   /// Wakes the coroutine that has paused reading, so that it learns that the server has gone.
-  void resume_reading() { reading_resumed_.give(); }
+  void resume_reading() { reading_resumed_.set(); }
 
   /// Sends the response of the open request. `json_rows` are the rows of its result.
   void on_request_completed(const std::string& json_rows, const dispatch::FinalResponse& result);
@@ -94,7 +94,7 @@
   uint64_t request_count_ = 0;
   size_t ignored_bytes_ = 0;  // received after the half-close
   ArrivalTimes arrival_times_;
-  Signal reading_resumed_;
+  AsyncEvent reading_resumed_;
   bool rejects_requests_ = false;
   bool keep_alive_ = true;  // what the client of the open request asked for
   std::string open_request_id_;
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -123,9 +123,9 @@
     bool readable() const override { return ++*readable_checks < 0; }
     bool peer_left() const override { return false; }
     void end() override {}
-    void close() override { closed.give(); }
-    void reset() override { closed.give(); }
-    Signal closed;
+    void close() override { closed.set(); }
+    void reset() override { closed.set(); }
+    AsyncEvent closed;
     int* const readable_checks;
   };
   int readable_checks = 0;
