--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -77,8 +77,8 @@
   while (self->stage_ != Stage::kClosed) {
     const std::optional<std::string> bytes = co_await self->stream_->read(kReadBytes);
     if (!self->server_) co_return;
-    const bool client_left = !bytes || bytes->empty();
-    if (client_left || self->stage_ == Stage::kClosed) break;
+    const bool client_disconnected = !bytes || bytes->empty();
+    if (client_disconnected || self->stage_ == Stage::kClosed) break;
     self->on_bytes(*bytes);
     while (self->is_reading_paused()) {
       co_await self->reading_resumed_.wait();
--- a/src/platform/http_server.h
+++ b/src/platform/http_server.h
@@ -17,8 +17,12 @@
 /// client_request.h, the life of one connection in http_connection.h, the limit of connections in
 /// connection_admission.h. Used on the strand of the dialer.
 ///
-/// Graceful shutdown: start_draining() first, later close_idle_connections(), then the owner waits for
-/// is_idle().
+/// Graceful shutdown, whose times are in shutdown_schedule.h:
+///   1. start_draining(): health checks fail, so that clients go elsewhere. Each connection is half-closed
+///   after
+///      its response, unless another request has arrived on it.
+///   2. Once the listener is closed, close_idle_connections(): idle connections are half-closed as well.
+///   3. The owner waits for is_idle(), for a bounded time.
 class HttpServer {
  public:
   /// The references must outlive the server. The dialer gives the strand.
@@ -31,9 +35,9 @@
   /// Serves one connection until it is closed. May outlive the server, then ends at its next event.
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream);
 
-  /// Health checks fail from now on, and connections close after their responses.
+  /// Health checks fail from now on, and connections are half-closed after their responses.
   void start_draining() { context_.is_draining = true; }
-  /// Closes idle connections, now and from now on. Requests that have arrived are still accepted.
+  /// Half-closes idle connections, now and from now on. Requests that have arrived are still accepted.
   void close_idle_connections();
   /// True where no connection is open.
   bool is_idle() const { return admission_.connections().empty(); }
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 TEST(PlatformConfig, ValidConfigurationIsMappedToSettingsAndEndpoints) {
-  const platform::PlatformConfig config = platform::parse_config(kConfig);
+  const platform::PlatformConfig config = platform::parse_config(kPlatformConfigJson);
   EXPECT_EQ(config.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(config.max_descriptors, 256u);
   EXPECT_EQ(config.dial_timeout_us, 200'000);
@@ -32,7 +32,7 @@
 
 TEST(PlatformConfig, InvalidInputThrowsConfigError) {
   const auto expect_error = [](const std::string& from, const std::string& to) {
-    std::string text = kConfig;
+    std::string text = kPlatformConfigJson;
     const size_t at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
     text.replace(at, from.size(), to);
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -47,7 +47,7 @@
                  });
   NullLog log;
   std::vector<config::EngineConfig> endpoints;
-  platform::PlatformConfig config = platform::parse_config(kConfig);
+  platform::PlatformConfig config = platform::parse_config(kPlatformConfigJson);
   auto watcher = std::make_unique<platform::EndpointWatcher>(
       dialer, *gateway, log, [&](const std::vector<config::EngineConfig>& list) { endpoints = list; });
   watcher->start(config);
@@ -111,7 +111,7 @@
   });
   NullLog log;
   std::vector<config::EngineConfig> endpoints;
-  platform::PlatformConfig config = platform::parse_config(kConfig);
+  platform::PlatformConfig config = platform::parse_config(kPlatformConfigJson);
   auto watcher = std::make_unique<platform::EndpointWatcher>(
       dialer, *gateway, log, [&](const std::vector<config::EngineConfig>& list) { endpoints = list; });
   watcher->start(config);
--- a/tests/platform/platform_config.h
+++ b/tests/platform/platform_config.h
@@ -1,9 +1,10 @@
-// A configuration as the platform passes it, for tests.
+// A configuration in the platform's form, with two endpoints and two service classes.
 #pragma once
 
 namespace sablelink::test {
 
-inline constexpr char kConfig[] = R"({"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
+inline constexpr char kPlatformConfigJson[] =
+    R"({"name":"n3","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
  "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"changelog":"10.2.0.1:8500",
  "known":{"seq":3,"results":[{"seq":3,"fleet":{"seq":7,"whole":true,"hosts":[
    {"host":"s-1","dial":"10.1.0.9:10080","site":"east","class":"big","block":2,"health":"ready","share":4,"born_ms":0},
