--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -155,7 +155,7 @@
               {"client_connections_rejected", std::to_string(clients.rejected_at_capacity)},
               {"engine_connections", std::to_string(engines.dials)},
               {"engine_calls", std::to_string(engines.calls_sent)},
-              {"engine_calls_reset", std::to_string(engines.calls_interrupted)},
+              {"engine_calls_interrupted", std::to_string(engines.calls_interrupted)},
               {"engine_responses_malformed", std::to_string(engines.malformed_responses)},
               {"engine_calls_timed_out", std::to_string(engines.calls_timed_out)},
               {"attempts_delayed", std::to_string(engines.attempts_delayed)}});
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -30,7 +30,7 @@
 /// returns.
 class PlatformService {
  public:
-  /// Starts to listen; serves in run(). Throws std::runtime_error if the address can't be used.
+  /// Starts to listen; serves in run(). Throws rpc::AddressError or rpc::ListenError.
   PlatformService(platform::PlatformConfig config, const System& system);
   ~PlatformService();
 
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -1,11 +1,11 @@
 // The program as a process on loopback sockets: start, reload and graceful shutdown on the users' platform.
 // Limits on waiting are generous, as the tests are about what happens and not when.
 #include <gtest/gtest.h>
-#include <stdlib.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <memory>
