--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -71,15 +71,14 @@
       reader_(message_limits(context.options)),
       stage_started_at_(context.clock.now()) {}
 
-// ---- Reading
-// -----------------------------------------------------------------------------------------------
+// ---- Reading ----------------------------------------------------------------------------------------
 
 rpc::Awaitable<void> HttpConnection::run(std::shared_ptr<HttpConnection> self) {
   while (self->stage_ != Stage::kClosed) {
     const std::optional<std::string> bytes = co_await self->stream_->read(kReadBytes);
     if (!self->server_) co_return;
-    const bool client_left = !bytes || bytes->empty();
-    if (client_left || self->stage_ == Stage::kClosed) break;
+    const bool client_disconnected = !bytes || bytes->empty();
+    if (client_disconnected || self->stage_ == Stage::kClosed) break;
     self->on_bytes(*bytes);
     while (self->is_reading_paused()) {
       co_await self->reading_resumed_.wait();
@@ -117,8 +116,7 @@
   }
 }
 
-// ---- Requests
-// ----------------------------------------------------------------------------------------------
+// ---- Requests ---------------------------------------------------------------------------------------
 
 void HttpConnection::process_next_request() {
   if (stage_ != Stage::kReadingRequest) return;
@@ -221,8 +219,7 @@
   }
 }
 
-// ---- Responses
-// ---------------------------------------------------------------------------------------------
+// ---- Responses --------------------------------------------------------------------------------------
 
 void HttpConnection::respond(int status, const http::Fields& fields, const std::string& body,
                              bool keep_alive) {
@@ -255,8 +252,7 @@
   self->process_next_request();
 }
 
-// ---- Closing
-// -----------------------------------------------------------------------------------------------
+// ---- Closing ----------------------------------------------------------------------------------------
 
 void HttpConnection::enter(Stage stage) {
   stage_ = stage;
