--- a/tests/workload/health_checker_test.cpp
+++ b/tests/workload/health_checker_test.cpp
@@ -10,7 +10,7 @@
 namespace sablelink::test {
 namespace {
 
-Settings probing_settings() {
+Settings health_check_settings() {
   Settings settings = plain_settings();
   settings.gateway_count = 200;
   settings.health_checks_allowed = true;
@@ -20,7 +20,7 @@
   return settings;
 }
 
-std::set<EngineId> probed(const ManagerHarness& harness) {
+std::set<EngineId> checked_engines(const ManagerHarness& harness) {
   std::set<EngineId> found;
   for (const Action& a : harness.actions) {
     if (a.kind == Action::kCheckHealth) found.insert(a.engine);
@@ -28,25 +28,27 @@
   return found;
 }
 
-LoadReport busy(double share) {
+LoadReport utilization(double fraction) {
   LoadReport report;
-  report.cpu_utilization = share;
+  report.cpu_utilization = fraction;
   return report;
 }
 
-// Sends a heavy query, answers its probes and returns the engine it went to. One engine answers differently.
-EngineId after_probes(ManagerHarness& harness, RequestId id, TimeUs odd_took,
-                      const std::optional<LoadReport>& odd, EngineId* odd_one) {
+// Sends a heavy query, completes its health checks and returns the engine it went to. One engine, returned in
+// odd_engine, responds after odd_duration_us and with another load report.
+EngineId place_after_checks(ManagerHarness& harness, RequestId id, TimeUs odd_duration_us,
+                            const std::optional<LoadReport>& odd, EngineId* odd_engine) {
   harness.request(id, 1, 15 * kSecond, 6'000'000);
   EXPECT_EQ(harness.send_count(id), 0) << "it waits for the answers";
-  const std::set<EngineId> asked = probed(harness);
-  EXPECT_EQ(asked.size(), 3u);
-  *odd_one = *asked.rbegin();
+  const std::set<EngineId> checked = checked_engines(harness);
+  EXPECT_EQ(checked.size(), 3u);
+  *odd_engine = *checked.rbegin();
   harness.run_for(5 * kMs);
-  for (const EngineId e : asked) {
-    const bool is_odd = e == *odd_one;
-    harness.manager().on_health_check_completed(harness.now(), e, Outcome::kOk, is_odd ? odd_took : kMs,
-                                                is_odd ? odd : busy(0.5), harness);
+  for (const EngineId e : checked) {
+    const bool is_odd = e == *odd_engine;
+    harness.manager().on_health_check_completed(harness.now(), e, Outcome::kOk,
+                                                is_odd ? odd_duration_us : kMs,
+                                                is_odd ? odd : utilization(0.5), harness);
   }
   harness.run_for(20 * kMs);
   EXPECT_EQ(harness.send_count(id), 1);
@@ -54,45 +56,46 @@
 }
 
 TEST(HealthChecker, HeavyQueryGoesToLeastBusyEngine) {
-  ManagerHarness harness(probing_settings());
+  ManagerHarness harness(health_check_settings());
   harness.update_endpoints(engines(3));
   EngineId idle = 0;
-  EXPECT_EQ(after_probes(harness, 1, kMs, busy(0.05), &idle), idle);
+  EXPECT_EQ(place_after_checks(harness, 1, kMs, utilization(0.05), &idle), idle);
 }
 
 TEST(HealthChecker, SlowHealthCheckShowsSaturatedEngine) {
-  ManagerHarness harness(probing_settings());
+  ManagerHarness harness(health_check_settings());
   harness.update_endpoints(engines(3));
   EngineId jammed = 0;
-  EXPECT_NE(after_probes(harness, 1, 20 * kMs, busy(0.05), &jammed), jammed)
+  EXPECT_NE(place_after_checks(harness, 1, 20 * kMs, utilization(0.05), &jammed), jammed)
       << "past its peak an engine's cores wait for its disks";
 }
 
 TEST(HealthChecker, ChecksPrecedeHeavyQueriesOnlyWhereWorthwhile) {
-  ManagerHarness light(probing_settings());
+  ManagerHarness light(health_check_settings());
   light.update_endpoints(engines(3));
   light.request(1, 0, 5 * kSecond, 50'000);
-  EXPECT_TRUE(probed(light).empty());
+  EXPECT_TRUE(checked_engines(light).empty());
   EXPECT_EQ(light.send_count(1), 1);
   for (const bool dear : {true, false}) {
-    Settings settings = probing_settings();
+    Settings settings = health_check_settings();
     settings.health_check_cost = dear ? 1 : 0.01;
     settings.health_checks_allowed = dear;
     ManagerHarness harness(settings);
     harness.update_endpoints(engines(3));
     harness.request(1, 1, 15 * kSecond, 6'000'000);
-    EXPECT_TRUE(probed(harness).empty());
+    EXPECT_TRUE(checked_engines(harness).empty());
     EXPECT_EQ(harness.send_count(1), 1);
   }
 }
 
 TEST(HealthChecker, LostLateFailedOrUnknownChecksAreHarmless) {
-  ManagerHarness harness(probing_settings());
+  ManagerHarness harness(health_check_settings());
   harness.update_endpoints(engines(4));
   harness.request(1, 1, 15 * kSecond, 6'000'000);
   harness.run_for(30 * kMs);
   EXPECT_EQ(harness.send_count(1), 1) << "no answer within three ticks: it goes all the same";
-  harness.manager().on_health_check_completed(harness.now(), 99, Outcome::kOk, kMs, busy(0.5), harness);
+  harness.manager().on_health_check_completed(harness.now(), 99, Outcome::kOk, kMs, utilization(0.5),
+                                              harness);
   for (const Outcome o :
        {Outcome::kError, Outcome::kOverloaded, Outcome::kConnectFailed, Outcome::kTimeout}) {
     harness.manager().on_health_check_completed(harness.now(), 1, o, 250 * kMs, std::nullopt, harness);
@@ -108,7 +111,7 @@
 }
 
 TEST(HealthChecker, EngineWithoutResponseIsEjected) {
-  ManagerHarness harness(probing_settings());
+  ManagerHarness harness(health_check_settings());
   harness.update_endpoints(engines(5));
   harness.manager().on_health_check_completed(harness.now(), 1, Outcome::kTimeout, 250 * kMs, std::nullopt,
                                               harness);
--- a/tests/workload/load_estimator_test.cpp
+++ b/tests/workload/load_estimator_test.cpp
@@ -6,8 +6,8 @@
 namespace sablelink::test {
 namespace {
 
-// Does a lookup follow its table group to the engine whose last report, this old, was far over the other's?
-bool sent_to_reported_busy(TimeUs age) {
+// Whether a query follows its table group to an engine whose last report, this old, was far over the other's.
+bool follows_group_to_busy_engine(TimeUs age) {
   Settings settings = plain_settings();
   settings.gateway_count = 200;
   ManagerHarness harness(settings);
@@ -25,21 +25,23 @@
 
 // Threads that this gateway has out once every answer said that the engines' memory is granted this many
 // times.
-double threads_out(MemoryPressurePolicy when_short, double memory_share) {
+double threads_in_flight(MemoryPressurePolicy policy, double memory_utilization) {
   Settings settings = plain_settings();
   settings.gateway_count = 200;
-  settings.memory_pressure_policy = when_short;
+  settings.memory_pressure_policy = policy;
   ManagerHarness harness(settings);
   harness.update_endpoints(engines(4));
   for (RequestId id = 1; id <= 40; ++id) {
-    QueryRequest r;
-    r.id = id, r.deadline = harness.now() + 5 * kSecond, r.estimated_cost_us = 100'000,
-    r.estimated_memory_mb = 800;
-    harness.manager().on_request(harness.now(), r, harness);
+    QueryRequest request;
+    request.id = id;
+    request.deadline = harness.now() + 5 * kSecond;
+    request.estimated_cost_us = 100'000;
+    request.estimated_memory_mb = 800;
+    harness.manager().on_request(harness.now(), request, harness);
     harness.run_for(50 * kMs);
     LoadReport report;
     report.cpu_utilization = 0.2;  // busy cores fall once an engine pages
-    report.memory_utilization = memory_share;
+    report.memory_utilization = memory_utilization;
     if (harness.send_count(id) > 0) harness.complete_attempt(id, Outcome::kOk, 100'000, report);
   }
   for (RequestId id = 100; id < 130; ++id) harness.request(id, 0, 5 * kSecond, 100'000);
@@ -67,13 +69,13 @@
 }
 
 TEST(LoadEstimator, ReportDecaysToFleetMean) {
-  EXPECT_FALSE(sent_to_reported_busy(100 * kMs));
-  EXPECT_TRUE(sent_to_reported_busy(60 * kSecond));
+  EXPECT_FALSE(follows_group_to_busy_engine(100 * kMs));
+  EXPECT_TRUE(follows_group_to_busy_engine(60 * kSecond));
 }
 
 TEST(LoadEstimator, MemoryUtilizationShowsOverloadedFleet) {
-  EXPECT_GT(threads_out(MemoryPressurePolicy::kOvercommit, 0.2), 20);
-  EXPECT_LT(threads_out(MemoryPressurePolicy::kOvercommit, 3), 10)
+  EXPECT_GT(threads_in_flight(MemoryPressurePolicy::kOvercommit, 0.2), 20);
+  EXPECT_LT(threads_in_flight(MemoryPressurePolicy::kOvercommit, 3), 10)
       << "light ones wait, too, where all would slow down";
 }
 
--- a/tests/workload/placement_test.cpp
+++ b/tests/workload/placement_test.cpp
@@ -20,23 +20,23 @@
   ManagerHarness harness(plain_settings());
   harness.update_endpoints({engine(1), engine(2), engine(3), engine(4)});
   harness.request(1, 0, 5 * kSecond, 100'000, 7);
-  const EngineId warm = harness.last_engine(1);
+  const EngineId engine_of_group = harness.last_engine(1);
   harness.run_for(100 * kMs);
   harness.complete_attempt(1, Outcome::kOk, 100'000);
   harness.run_for(kSecond);
   harness.request(2, 0, 5 * kSecond, 100'000, 7);
-  EXPECT_EQ(harness.last_engine(2), warm);
+  EXPECT_EQ(harness.last_engine(2), engine_of_group);
 }
 
 TEST(Placement, DrainGuardBoundsCostOfInteraction) {
   ManagerHarness harness(plain_settings());
   harness.update_endpoints({engine(1), engine(2)});
   harness.request(1, 0, 5 * kSecond, 100'000, 7);
-  const EngineId warm = harness.last_engine(1);
+  const EngineId engine_of_group = harness.last_engine(1);
   harness.run_for(100 * kMs);
   harness.complete_attempt(1, Outcome::kOk, 100'000);
   for (RequestId id = 2; id < 8; ++id) harness.request(id, 1, 15 * kSecond, 4'000'000, 7);
-  EXPECT_GT(harness.send_count_to(warm == 1 ? 2 : 1), 0);
+  EXPECT_GT(harness.send_count_to(engine_of_group == 1 ? 2 : 1), 0);
 }
 
 TEST(Placement, TableLoadKeepsBlockedQueriesOffItsEngine) {
@@ -51,14 +51,14 @@
 }
 
 TEST(Placement, GatewaysAgreeOnPreferredEnginesOfTableGroup) {
-  std::map<EngineId, int> homes;
+  std::map<EngineId, int> preferred;
   for (uint64_t seed = 1; seed <= 30; ++seed) {
     ManagerHarness harness(plain_settings(), 100 * kSecond, seed);
     harness.update_endpoints(engines(40));
     harness.request(1, 0, 5 * kSecond, 100'000, 7);
-    ++homes[harness.last_engine(1)];
+    ++preferred[harness.last_engine(1)];
   }
-  EXPECT_LE(homes.size(), 4u) << "thirty gateways spread a group over few of forty engines";
+  EXPECT_LE(preferred.size(), 4u) << "thirty gateways spread a group over few of forty engines";
 }
 
 }  // namespace
--- a/tests/workload/retry_policy_test.cpp
+++ b/tests/workload/retry_policy_test.cpp
@@ -117,7 +117,10 @@
   for (RequestId id = 1; id <= 20; ++id) {
     harness.request(id, 0, 5 * kSecond);
     harness.complete_attempt(id, Outcome::kOverloaded);
-    if (harness.send_count(id) > 1) ++extra, harness.complete_attempt(id, Outcome::kOk, 1000);
+    if (harness.send_count(id) > 1) {
+      ++extra;
+      harness.complete_attempt(id, Outcome::kOk, 1000);
+    }
     EXPECT_LE(extra, 2 + 0.1 * id);
   }
   EXPECT_GE(extra, 3);
