--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -59,7 +59,8 @@
     if (backoff_us > 0) co_await sleep_for(clock_, backoff_us);
     if (!self || generation != connection_generation_) co_return;
     backoff_us = std::clamp(backoff_us * 2, kMinBackoffUs, kMaxBackoffUs);
-    const std::shared_ptr<rpc::ByteStream> stream = co_await dialer_.connect(address, kDialTimeoutUs);
+    const rpc::ConnectResult connected = co_await dialer_.connect(address, kDialTimeoutUs);
+    const std::shared_ptr<rpc::ByteStream>& stream = connected.stream;
     if (!self || generation != connection_generation_) co_return;
     if (!stream) continue;
     activate(generation, stream);
--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -232,14 +232,13 @@
 
 rpc::Awaitable<void> ConnectionPool::run_connection(EngineStatePtr engine) {
   const WeakPtr<ConnectionPool> self = weak_factory_.get_weak_ptr();
-  rpc::ConnectEnd end = rpc::ConnectEnd::kFailed;
-  const std::shared_ptr<rpc::ByteStream> stream =
-      co_await dialer_.connect(engine->address, options_.dial_timeout_us, &end);
+  const rpc::ConnectResult connected = co_await dialer_.connect(engine->address, options_.dial_timeout_us);
+  const std::shared_ptr<rpc::ByteStream>& stream = connected.stream;
   if (!self) co_return;
   --engine->dialing;
   if (!stream) {
     --connections_;
-    on_dial_failed(engine, end);
+    on_dial_failed(engine, connected.status);
     co_return;
   }
   engine->backoff_us = 0;
@@ -255,8 +254,8 @@
   }
 }
 
-void ConnectionPool::on_dial_failed(const EngineStatePtr& engine, rpc::ConnectEnd end) {
-  const bool refused = end == rpc::ConnectEnd::kRefused;
+void ConnectionPool::on_dial_failed(const EngineStatePtr& engine, rpc::ConnectStatus status) {
+  const bool refused = status == rpc::ConnectStatus::kRefused;
   // An engine at its limit of connections refuses further ones and goes on with what it runs. It is down if
   // its connections were reset and none is open.
   const bool is_down = refused && engine->connections.empty() && engine->was_reset;
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -18,8 +18,8 @@
                                                               uint64_t incarnation) {
   flightsql::FlightSqlEngineClientOptions options;
   options.origin = config.name + "/" + hex(incarnation);
-  options.dial_timeout_us = config.flight_sql.dial_timeout_us;
-  options.connections = config.flight_sql.node_connections;
+  options.dial_timeout_us = config.flight_sql.connect_timeout_us;
+  options.connections = config.flight_sql.connections_per_engine;
   return options;
 }
 
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -50,7 +50,7 @@
     : config_(std::move(config)),
       log_(make_json_log("gateway", "info")),
       loop_(system.wall, system.steady),
-      network_(std::make_unique<rpc::TcpNet>(loop_)) {
+      network_(std::make_unique<rpc::TcpTransport>(loop_)) {
   const platform::DescriptorBudget budget = platform::DescriptorBudget::from_limit(config_.max_descriptors);
   endpoint_source_ = std::make_unique<RegistryEndpointSource>(
       endpoint_registry_,
@@ -155,7 +155,7 @@
               {"client_connections_rejected", std::to_string(clients.rejected_at_capacity)},
               {"engine_connections", std::to_string(engines.dials)},
               {"engine_calls", std::to_string(engines.calls_sent)},
-              {"engine_calls_reset", std::to_string(engines.calls_interrupted)},
+              {"engine_calls_interrupted", std::to_string(engines.calls_interrupted)},
               {"engine_responses_malformed", std::to_string(engines.malformed_responses)},
               {"engine_calls_timed_out", std::to_string(engines.calls_timed_out)},
               {"attempts_delayed", std::to_string(engines.attempts_delayed)}});
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -378,7 +378,7 @@
   gateway_.reset();  // breaks everything off
   EXPECT_NE(held.get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded) == 1; }));
-  config_.listen = "127.0.0.1:" + std::to_string(port);
+  config_.listen_address = "127.0.0.1:" + std::to_string(port);
   start();
   EXPECT_EQ(send("SELECT 1", "again", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   const QueryResult r = spawn(client_->fetch(old.ticket, options(5 * kSecond))).get();
@@ -391,7 +391,7 @@
   roomy.engine.sessions_per_core = 1e4;
   add_node(roomy);
   add_node(roomy);
-  config_.flight_sql.open_per_connection = 6'000;
+  config_.flight_sql.max_open_requests_per_connection = 6'000;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 5'000; ++i)
@@ -418,7 +418,7 @@
 
 TEST_F(Loopback, AConnectionMayHoldOnlySoMany) {
   add_node();
-  config_.flight_sql.open_per_connection = 3;
+  config_.flight_sql.max_open_requests_per_connection = 3;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 3; ++i)
@@ -483,7 +483,7 @@
       flightsql::flight::PutResult result;
       if (result.ParseFromString(*message)) out.metadata = result.app_metadata();
     }
-    const rpc::CallEnd end = co_await call->finish();
+    const rpc::CallResult end = co_await call->finish();
     out.status = end.status;
     co_return out;
   }
@@ -498,16 +498,16 @@
   const PutEnd bound = put(command, {48213});
   ASSERT_TRUE(bound.status.ok()) << bound.status.message;
   const auto info = [&] {
-    return spawn(
-               [](Client* c, std::string descriptor) -> rpc::Awaitable<std::pair<rpc::CallEnd, std::string>> {
-                 const auto call =
-                     c->channel().call("/arrow.flight.protocol.FlightService/GetFlightInfo", {}, 5 * kSecond);
-                 co_await call->write(std::move(descriptor), true);
-                 std::pair<rpc::CallEnd, std::string> out;
-                 if (const std::optional<std::string> message = co_await call->read()) out.second = *message;
-                 out.first = co_await call->finish();
-                 co_return out;
-               }(client_.get(), flightsql::descriptor_of(command).SerializeAsString()))
+    return spawn([](Client* c,
+                    std::string descriptor) -> rpc::Awaitable<std::pair<rpc::CallResult, std::string>> {
+             const auto call =
+                 c->channel().call("/arrow.flight.protocol.FlightService/GetFlightInfo", {}, 5 * kSecond);
+             co_await call->write(std::move(descriptor), true);
+             std::pair<rpc::CallResult, std::string> out;
+             if (const std::optional<std::string> message = co_await call->read()) out.second = *message;
+             out.first = co_await call->finish();
+             co_return out;
+           }(client_.get(), flightsql::descriptor_of(command).SerializeAsString()))
         .get();
   };
   const auto [end, bytes] = info();
@@ -551,7 +551,7 @@
                  c->channel().call("/arrow.flight.protocol.FlightService/" + m, {}, 5 * kSecond);
              co_await made->write(std::move(bytes), true);
              while (const std::optional<std::string> answer = co_await made->read()) continue;
-             const rpc::CallEnd end = co_await made->finish();
+             const rpc::CallResult end = co_await made->finish();
              co_return end.status;
            }(client_.get(), method, message))
         .get();
@@ -569,8 +569,8 @@
 
 TEST_F(BadInput, IsNamedAndHurtsNobodyElse) {
   add_node();
-  config_.flight_sql.statement_bytes = 1000;
-  config_.flight_sql.message_bytes = 64 << 10;
+  config_.flight_sql.max_statement_bytes = 1000;
+  config_.flight_sql.max_message_bytes = 64 << 10;
   start();
   expect(call("GetFlightInfo", "\xff\xff\xff"), Code::kInvalidArgument,
          "the request is no valid FlightDescriptor");
@@ -648,7 +648,7 @@
   auto handler = [&](std::shared_ptr<rpc::ServerCall> call) -> rpc::Awaitable<void> {
     {
       const std::lock_guard lock(mutex);
-      taken.push_back(call->allowed().value_or(-1));
+      taken.push_back(call->client_timeout_us().value_or(-1));
     }
     rpc::Status status;
     rpc::Metadata trailers;
@@ -673,14 +673,14 @@
     EXPECT_GT(seen[i], allowed[i] / 2);  // it is known at all
   }
   spawn(client_->ask("SELECT 1", options(0))).get();
-  server_loop.run([] {});
+  server_loop.post_and_wait([] {});
   EXPECT_EQ(taken_so_far().back(), -1);
 }
 
 TEST_F(Loopback, APortInUseIsAnError) {
   add_node();
   start();
-  config_.listen = "127.0.0.1:" + std::to_string(gateway_->port());
+  config_.listen_address = "127.0.0.1:" + std::to_string(gateway_->port());
   EXPECT_THROW(service::GatewayService(config_, system_), rpc::ListenError);
 }
 
--- a/tests/platform/engine_client/connection_pool_test.cpp
+++ b/tests/platform/engine_client/connection_pool_test.cpp
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 #include "tests/platform/engine_client/engine_client_harness.h"
 #include "tests/platform/platform_harness.h"
 
@@ -46,8 +46,8 @@
   const auto steady = [] { return std::chrono::steady_clock::now(); };
   rpc::AsioLoop engine_loop(wall, steady);
   rpc::AsioLoop client_loop(wall, steady);
-  auto engine_net = std::make_unique<rpc::TcpNet>(engine_loop);
-  auto client_net = std::make_unique<rpc::TcpNet>(client_loop);
+  auto engine_net = std::make_unique<rpc::TcpTransport>(engine_loop);
+  auto client_net = std::make_unique<rpc::TcpTransport>(client_loop);
   std::atomic<int> calls{0};
   config::EngineConfig engine;
   engine.name = "n";
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -1,11 +1,11 @@
 // The program as a process on loopback sockets: start, reload and graceful shutdown on the users' platform.
 // Limits on waiting are generous, as the tests are about what happens and not when.
 #include <gtest/gtest.h>
-#include <stdlib.h>
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <csignal>
+#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <memory>
@@ -15,7 +15,7 @@
 #include "base/async_event.h"
 #include "http/reader.h"
 #include "rpc/asio_loop.h"
-#include "rpc/tcp_stream.h"
+#include "rpc/tcp_transport.h"
 
 namespace sablelink::test {
 namespace {
@@ -95,7 +95,8 @@
   }
   // Sets the status of the response; 0 if the connection failed or ended without one.
   rpc::Awaitable<void> send_request(std::string bytes, int* status) {
-    const StreamPtr stream = co_await net_->connect(listen_, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await net_->connect(listen_, 5 * kSecond);
+    const StreamPtr& stream = connected.stream;
     http::ResponseReader reader{http::MessageLimits{}};
     auto state = http::ParseStatus::kNeedMore;
     if (stream) co_await rpc::write_all(*stream, bytes);
@@ -143,7 +144,7 @@
   std::filesystem::path directory_;
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpNet> net_ = std::make_unique<rpc::TcpNet>(loop_);
+  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
   std::string listen_;  // the gateway's address
   std::string engine_;  // addresses of the test's own servers
   std::string old_changelog_;
