--- a/src/base/async_event.h
+++ b/src/base/async_event.h
@@ -14,8 +14,8 @@
 
 namespace sablelink {
 
-/// Auto-reset event: each set() resumes one wait(), and a set() without a waiter is kept for the next one. It
-/// must outlive its waiter; a coroutine that is destroyed while it waits is never resumed.
+/// Auto-reset event: each set() resumes one wait(), and a set() without a waiter is kept for the next one.
+/// Destroying the event destroys the coroutine that waits for it.
 class AsyncEvent {
  public:
   /// Returns once the event is set, and resets it. At most one coroutine may wait at a time.
