--- a/src/arrowipc/ipc.cpp
+++ b/src/arrowipc/ipc.cpp
@@ -16,7 +16,7 @@
 
 [[noreturn]] void refuse(const std::string& what) { throw FormatError("arrow ipc: " + what); }
 
-// ---- Schemas ---------------------------------------------------------------------------------------------
+// ---- Schemas
 
 std::pair<fb::Type, flatbuffers::Offset<void>> encode_type(flatbuffers::FlatBufferBuilder& b,
                                                            const Field& f) {
@@ -155,7 +155,7 @@
   return f;
 }
 
-// ---- Messages --------------------------------------------------------------------------------------------
+// ---- Messages
 
 const fb::Message* checked_message(std::string_view header, flatbuffers::FlatBufferBuilder& aligned) {
   // The verifier wants alignment, which bytes out of a protobuf don't have.
@@ -177,7 +177,7 @@
   return {std::move(bytes), std::move(body)};
 }
 
-// ---- Batches ---------------------------------------------------------------------------------------------
+// ---- Batches
 
 struct BodyWriter {
   std::vector<fb::FieldNode> nodes;
--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -142,7 +142,7 @@
     for (Node& n : nodes_) n.process->wait_end(15'000'000);
   }
 
-  // ---- Troubles ------------------------------------------------------------------------------------------
+  // ---- Troubles
 
   // Tells all gateways the list as it stands. The time taken down is that before the first could know.
   void tell_gateways(const std::vector<int>& draining) {
@@ -228,7 +228,7 @@
     for (std::thread& t : running) t.join();
   }
 
-  // ---- Traffic -------------------------------------------------------------------------------------------
+  // ---- Traffic
 
   double uniform() { return std::uniform_real_distribution<double>()(random_); }
 
--- a/src/cli/simulate.cpp
+++ b/src/cli/simulate.cpp
@@ -34,7 +34,6 @@
 constexpr SeedRange kDefaultSeeds = {1, 100};
 
 // ---- Arguments
-// -----------------------------------------------------------------------------------------------------
 
 sim::Defect parse_defect(const std::string& name) {
   for (int i = 0; i < sim::kDefects; ++i) {
@@ -109,7 +108,6 @@
 };
 
 // ---- Output
-// --------------------------------------------------------------------------------------------------------
 
 void print_findings(const std::vector<audit::Finding>& findings) {
   const size_t printed = std::min(findings.size(), kMaxPrintedFindings);
@@ -187,7 +185,6 @@
 }
 
 // ---- Runs
-// ----------------------------------------------------------------------------------------------------------
 
 // The results of many scenarios, added up.
 class Totals {
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -16,7 +16,6 @@
 constexpr size_t kMaxMessageBytes = size_t{1} << 30;
 
 // ---- Names of classes, zones and so on, which other keys refer to
-// ---------------------------------------------------
 
 int index_of(const Section& section, std::string_view key, const std::vector<std::string>& names,
              const std::string& name) {
@@ -50,7 +49,6 @@
 }
 
 // ---- Tables, in the order in which they are read
-// -----------------------------------------------------------------
 
 void read_zones(Section& root, GatewayConfig& config) {
   for (Section& zone : root.tables("zone")) {
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -53,7 +53,7 @@
   notify([&] { manager_.on_endpoints_changed(clock_.now(), kind, endpoints, *this); });
 }
 
-// ---- Events of the workload manager ----------------------------------------------------------------------
+// ---- Events of the workload manager
 
 // Every event of the workload manager passes here. It must not be called back within an event, so completions
 // that its decisions cause are delivered after it has returned.
@@ -90,7 +90,7 @@
   deferred_completions_.push_back({id, engine, outcome});
 }
 
-// ---- Requests --------------------------------------------------------------------------------------------
+// ---- Requests
 
 RequestId RequestDispatcher::submit(QueryRequest query, std::shared_ptr<const Statement> statement,
                                     std::shared_ptr<ResponseSink> sink) {
@@ -214,7 +214,7 @@
   notify([&] { manager_.on_shutdown(clock_.now(), *this); });
 }
 
-// ---- Attempts --------------------------------------------------------------------------------------------
+// ---- Attempts
 
 // Applies to later attempts. The workload manager sets hints only before it sends, so none in flight needs
 // them.
@@ -357,7 +357,7 @@
   complete(id.request, request, {RequestStatus::kFailed, reason, 0, request.attempts_sent, result.error});
 }
 
-// ---- Responses -------------------------------------------------------------------------------------------
+// ---- Responses
 
 bool RequestDispatcher::on_attempt_message(AttemptId id, std::string message) {
   AttemptEntry entry = requests_.find(id);
@@ -415,7 +415,7 @@
 
 void RequestDispatcher::forget_unconsumed(RequestId id) { buffers_.forget_unconsumed(id); }
 
-// ---- Health checks ---------------------------------------------------------------------------------------
+// ---- Health checks
 
 void RequestDispatcher::check_health(EngineId engine) {
   const HealthCheckId id = health_checks_.add(engine, clock_.now());
@@ -434,7 +434,7 @@
   });
 }
 
-// ---- Timeouts and timers ---------------------------------------------------------------------------------
+// ---- Timeouts and timers
 
 void RequestDispatcher::schedule_deadline(RequestId id, TrackedRequest& request) {
   timeouts_.schedule(request_timeout(id, request.deadline));
@@ -501,7 +501,6 @@
 }
 
 // ---- Other decisions of the workload manager
-// ---------------------------------------------------------------
 
 void RequestDispatcher::watch_endpoints(bool on) { endpoint_source_.watch(on); }
 
--- a/src/flightsql/engine_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -35,23 +35,35 @@
   return note;
 }
 
-// Reads a SchemaResult, or the Result of CreatePreparedStatement.
-bool read_plan(const std::string& message, bool prepared, wire::Plan* plan, std::string* handle) {
-  if (!prepared) {
-    flight::SchemaResult result;
-    if (!result.ParseFromString(message)) return false;
-    plan->set_dataset(std::move(*result.mutable_schema()));
-    return true;
-  }
+// What an engine answers to a planning call.
+struct PlanningResponse {
+  wire::Plan plan;
+  std::string prepared_handle;  // of a prepared statement that the engine has made for it; empty: none
+};
+
+std::optional<PlanningResponse> parse_schema_result(const std::string& message) {
+  flight::SchemaResult result;
+  if (!result.ParseFromString(message)) return std::nullopt;
+  PlanningResponse response;
+  response.plan.set_dataset(std::move(*result.mutable_schema()));
+  return response;
+}
+
+std::optional<PlanningResponse> parse_prepared_statement(const std::string& message) {
   flight::Result result;
   google::protobuf::Any any;
   fsql::ActionCreatePreparedStatementResult created;
   if (!result.ParseFromString(message) || !any.ParseFromString(result.body()) || !any.UnpackTo(&created))
-    return false;
-  plan->set_dataset(std::move(*created.mutable_dataset_schema()));
-  plan->set_parameters(std::move(*created.mutable_parameter_schema()));
-  *handle = std::move(*created.mutable_prepared_statement_handle());
-  return true;
+    return std::nullopt;
+  PlanningResponse response;
+  response.plan.set_dataset(std::move(*created.mutable_dataset_schema()));
+  response.plan.set_parameters(std::move(*created.mutable_parameter_schema()));
+  response.prepared_handle = std::move(*created.mutable_prepared_statement_handle());
+  return response;
+}
+
+std::optional<PlanningResponse> parse_planning_response(const std::string& message, bool is_prepared) {
+  return is_prepared ? parse_prepared_statement(message) : parse_schema_result(message);
 }
 
 AttemptResult broken(rpc::Code code, std::string what) {
@@ -236,14 +248,14 @@
   const rpc::CallResult end = co_await call->finish();
   result = map_call_end(end);
   if (!end.status.ok() || task->dropped) co_return result;
-  wire::Plan found;
-  std::string handle;
-  if (!message || !read_plan(*message, prepares, &found, &handle)) {
+  std::optional<PlanningResponse> response;
+  if (message) response = parse_planning_response(*message, prepares);
+  if (!response) {
     result = broken(rpc::Code::kInternal, "the node's plan is no answer that Flight SQL knows");
     co_return result;
   }
-  if (!handle.empty()) spawn(forget_prepared(to, std::move(handle)));
-  std::string bytes = found.SerializeAsString();
+  if (!response->prepared_handle.empty()) spawn(forget_prepared(to, std::move(response->prepared_handle)));
+  std::string bytes = response->plan.SerializeAsString();
   dispatcher_->on_attempt_message(task->key, std::move(bytes));
   co_return result;
 }
--- a/src/flightsql/engine_client.h
+++ b/src/flightsql/engine_client.h
@@ -33,7 +33,7 @@
                         rpc::ChannelFactory& channels, AddressOf address_of);
   ~FlightSqlEngineClient() override;
   // Where attempts' news goes; set once, before anything is started.
-  void set_carrier(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
+  void set_dispatcher(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
   void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override;
   void cancel(dispatch::AttemptId key) override;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -171,7 +171,7 @@
   } catch (const std::exception& e) {
     code = Code::kInternal;
     what = e.what();
-    log_.error("call_broke", {{"method", call->method()}, {"error", what}});
+    log_.error("request_aborted", {{"method", call->method()}, {"error", what}});
   }
   if (code != Code::kOk) co_await fail(call, code, what);
 }
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-// ---- Bytes and status -------------------------------------------------------------------------------
+// ---- Bytes and status
 
 ParseStatus MessageReader::feed(std::string_view bytes) {
   if (status_ == ParseStatus::kMalformed) return status_;
@@ -120,7 +120,7 @@
   return false;
 }
 
-// ---- Start line and fields --------------------------------------------------------------------------
+// ---- Start line and fields
 
 bool MessageReader::parse_element() {
   switch (part_) {
@@ -219,7 +219,7 @@
   return true;
 }
 
-// ---- Framing (RFC 9112, 6.3) ------------------------------------------------------------------------
+// ---- Framing (RFC 9112, 6.3)
 
 bool MessageReader::on_header_complete() {
   if (!is_request() && response_.status < 200) return skip_interim_response();
@@ -274,7 +274,7 @@
   return true;
 }
 
-// ---- Content ----------------------------------------------------------------------------------------
+// ---- Content
 
 bool MessageReader::parse_content() {
   const std::string_view content = unparsed().substr(0, content_bytes_left_);
@@ -324,7 +324,7 @@
   return false;
 }
 
-// ---- Messages ---------------------------------------------------------------------------------------
+// ---- Messages
 
 Request RequestReader::take() {
   Request out = std::move(request_);
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -150,7 +150,7 @@
   return report_;
 }
 
-// ---- Time ------------------------------------------------------------------------------------------------
+// ---- Time
 
 void StandIn::schedule() {
   const std::optional<TimeUs> next = engine_.next_end();
@@ -195,7 +195,7 @@
   });
 }
 
-// ---- Calls -----------------------------------------------------------------------------------------------
+// ---- Calls
 
 Awaitable<void> StandIn::finish(CallPtr call, rpc::Status status, std::optional<std::string> last,
                                 const Job* job) {
--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -128,7 +128,7 @@
   engine->calls.remove_attempt(attempt);
 }
 
-// ---- Calls ---------------------------------------------------------------------------------------------
+// ---- Calls
 
 void ConnectionPool::enqueue(EngineCall call) {
   const EngineStatePtr engine = state_of(call.attempt->engine());
@@ -221,7 +221,7 @@
   if (!written) connection->stream->close();  // run_connection() then reads the end
 }
 
-// ---- Connections ---------------------------------------------------------------------------------------
+// ---- Connections
 
 void ConnectionPool::dial(const EngineStatePtr& engine) {
   ++engine->dialing;
@@ -354,7 +354,7 @@
   return true;
 }
 
-// ---- Timeouts ------------------------------------------------------------------------------------------
+// ---- Timeouts
 
 void ConnectionPool::expire() {
   const TimeUs now = clock_.now();
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -28,7 +28,7 @@
   expire();
 }
 
-// ---- Attempts ------------------------------------------------------------------------------------------
+// ---- Attempts
 
 void EngineClient::start(dispatch::AttemptId id, EngineId engine, const dispatch::AttemptSpec& spec) {
   const auto attempt = std::make_shared<EngineAttempt>(id, engine, spec, clock_.now());
@@ -85,7 +85,7 @@
   for (const AttemptPtr& released : orphans_.on_confirmed(attempt)) schedule_call(CallType::kStart, released);
 }
 
-// ---- Calls ---------------------------------------------------------------------------------------------
+// ---- Calls
 
 void EngineClient::schedule_call(CallType type, const AttemptPtr& attempt) {
   pool_.enqueue({type, attempt});
@@ -218,7 +218,7 @@
   });
 }
 
-// ---- Timeouts ------------------------------------------------------------------------------------------
+// ---- Timeouts
 
 void EngineClient::expire() {
   const TimeUs now = clock_.now();
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -71,7 +71,7 @@
       reader_(message_limits(context.options)),
       stage_started_at_(context.clock.now()) {}
 
-// ---- Reading ----------------------------------------------------------------------------------------
+// ---- Reading
 
 rpc::Awaitable<void> HttpConnection::run(std::shared_ptr<HttpConnection> self) {
   while (self->stage_ != Stage::kClosed) {
@@ -116,7 +116,7 @@
   }
 }
 
-// ---- Requests ---------------------------------------------------------------------------------------
+// ---- Requests
 
 void HttpConnection::process_next_request() {
   if (stage_ != Stage::kReadingRequest) return;
@@ -219,7 +219,7 @@
   }
 }
 
-// ---- Responses --------------------------------------------------------------------------------------
+// ---- Responses
 
 void HttpConnection::respond(int status, const http::Fields& fields, const std::string& body,
                              bool keep_alive) {
@@ -252,7 +252,7 @@
   self->process_next_request();
 }
 
-// ---- Closing ----------------------------------------------------------------------------------------
+// ---- Closing
 
 void HttpConnection::enter(Stage stage) {
   stage_ = stage;
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -53,7 +53,7 @@
       server_(std::make_unique<flightsql::FlightSqlServer>(config, seeds.server, *dispatcher_,
                                                            dependencies.clock, dependencies.log)) {
   endpoint_source_.set_dispatcher(dispatcher_.get());
-  engine_client_.set_carrier(dispatcher_.get());
+  engine_client_.set_dispatcher(dispatcher_.get());
 }
 
 GatewayCore::~GatewayCore() = default;
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -23,7 +23,6 @@
 }  // namespace
 
 // ---- Start
-// ---------------------------------------------------------------------------------------------------
 
 GatewayService::GatewayService(config::GatewayConfig config, const System& system)
     : config_(std::move(config)),
@@ -55,7 +54,6 @@
 }
 
 // ---- Reload
-// --------------------------------------------------------------------------------------------------
 
 void GatewayService::reload(const config::GatewayConfig& config) {
   loop_.post([this, engines = config.engines, selectors = config.selectors]() mutable {
@@ -66,7 +64,6 @@
 }
 
 // ---- Graceful shutdown
-// ---------------------------------------------------------------------------------------
 
 void GatewayService::shut_down(TimeUs grace_us) {
   const bool all_completed = wait_for_open_requests(grace_us);
@@ -104,7 +101,6 @@
 }
 
 // ---- Metrics
-// -------------------------------------------------------------------------------------------------
 
 void GatewayService::inspect(
     const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn) {
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -44,7 +44,6 @@
 }  // namespace
 
 // ---- Start
-// ---------------------------------------------------------------------------------------------------
 
 PlatformService::PlatformService(platform::PlatformConfig config, const System& system)
     : config_(std::move(config)),
@@ -94,7 +93,6 @@
 }
 
 // ---- Reload and endpoints
-// ------------------------------------------------------------------------------------
 
 void PlatformService::reload(const platform::PlatformConfig& config) {
   log_->info("configuration_reloaded", {{"changelog", config.watch_address}});
@@ -111,7 +109,6 @@
 }
 
 // ---- Graceful shutdown
-// ---------------------------------------------------------------------------------------
 
 void PlatformService::start_graceful_shutdown() {
   if (std::exchange(is_shutting_down_, true)) return;
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -80,7 +80,7 @@
   std::function<void()> on_cancelled;
 };
 
-// ---- Ends ------------------------------------------------------------------------------------------------
+// ---- Ends
 
 class Network::ServerEnd : public rpc::ServerCall {
  public:
@@ -327,7 +327,7 @@
       boost::asio::detached);
 }
 
-// ---- Channels --------------------------------------------------------------------------------------------
+// ---- Channels
 
 class Network::Channel : public rpc::Channel {
  public:
@@ -407,7 +407,7 @@
   const std::shared_ptr<Actor> actor_;
 };
 
-// ---- Network ---------------------------------------------------------------------------------------------
+// ---- Network
 
 Network::Network(World& world, LinkTerms terms, NetworkTap* tap)
     : world_(world), terms_(terms), tap_(tap != nullptr ? *tap : none_) {}
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -73,7 +73,7 @@
   // Calls that its handlers haven't ended.
   size_t running(const std::shared_ptr<Listener>& listener) const;
 
-  // ---- Faults. An address "" means all. -------------------------------------------------------------------
+  // ---- Faults. An address "" means all.
   void refuse(const std::string& address, bool on);     // connections are refused at once
   void swallow(const std::string& address, bool on);    // connections never come about
   void slow(const std::string& address, TimeUs by_us);  // added to every message, each way; 0: over
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -53,7 +53,7 @@
   asked_[client.tag] = client;
 }
 
-// ---- Sockets ---------------------------------------------------------------------------------------------
+// ---- Sockets
 
 void Observer::call_left(const CallFacts& call) {
   const std::string request = request_of(call);
@@ -183,7 +183,7 @@
   attempts_.erase(it);
 }
 
-// ---- Nodes -----------------------------------------------------------------------------------------------
+// ---- Nodes
 
 void Observer::record(const NodeEvent& event) {
   switch (event.kind) {
@@ -211,7 +211,7 @@
 
 void Observer::node_down(const std::string& node) { tell(node + " dies"); }
 
-// ---- What the driver does --------------------------------------------------------------------------------
+// ---- What the driver does
 
 void Observer::told_leaves(const std::string& gateway, const std::string& node) {
   tell(gateway + " is told that " + node + " drains or is gone");
@@ -299,7 +299,7 @@
   taken_.erase(it);
 }
 
-// ---- Steps -----------------------------------------------------------------------------------------------
+// ---- Steps
 
 void Observer::after_step() {
   // A ticket that was fetched and not used: the attempt was given up in between.
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -264,7 +264,7 @@
     std::vector<std::shared_ptr<flightsql::Client>> clients;  // by gateway
   };
 
-  // ---- Making -------------------------------------------------------------------------------------------
+  // ---- Making
 
   audit::AuditSettings audit_settings() const {
     audit::AuditSettings a;
@@ -400,7 +400,7 @@
     desks_.push_back(std::move(d));
   }
 
-  // ---- The list of nodes ----------------------------------------------------------------------------------
+  // ---- The list of nodes
 
   std::vector<config::EngineConfig> list_for(const Gateway& g) const {
     std::vector<config::EngineConfig> list;
@@ -464,7 +464,7 @@
     g.heard = std::move(now);
   }
 
-  // ---- Clients --------------------------------------------------------------------------------------------
+  // ---- Clients
 
   void plan(const RequestEvent& r) {
     world_.at(begin_ + r.at, [this, r] {
@@ -562,7 +562,7 @@
     --clients_out_;
   }
 
-  // ---- Troubles -------------------------------------------------------------------------------------------
+  // ---- Troubles
 
   Node& node_of(const TroubleEvent& t) { return nodes_[t.target % nodes_.size()]; }
   Gateway& gateway_of(int target) { return gateways_[target % gateways_.size()]; }
@@ -749,7 +749,7 @@
     }
   }
 
-  // ---- Promises besides the rules -------------------------------------------------------------------------
+  // ---- Promises besides the rules
 
   void check_step() {
     observer_.after_step();
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -13,7 +13,7 @@
   key_ = {{static_cast<uint32_t>(seed), static_cast<uint32_t>(seed >> 32)}};
 }
 
-// ---- Account ---------------------------------------------------------------------------------------------
+// ---- Account
 
 Account::Account(bool keep_lines) : keep_(keep_lines), state_(XXH3_createState()) {
   XXH3_64bits_reset(state_);
@@ -35,7 +35,7 @@
 
 uint64_t Account::digest() const { return XXH3_64bits_digest(state_); }
 
-// ---- World -----------------------------------------------------------------------------------------------
+// ---- World
 
 World::World(uint64_t seed, Account& account)
     : seed_(seed),
@@ -64,7 +64,7 @@
 
 void World::settle() { context_.poll(); }
 
-// ---- Actor -----------------------------------------------------------------------------------------------
+// ---- Actor
 
 std::shared_ptr<Actor> Actor::make(World& world, std::string name) {
   return std::shared_ptr<Actor>(new Actor(world, std::move(name)));
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -51,7 +51,7 @@
   if (!holds) throw std::logic_error(what);
 }
 
-// ---- Mutation ---------------------------------------------------------------------------------------------
+// ---- Mutation
 
 std::string mutate(const Target& target, Random& random) {
   const auto below = [&](size_t n) { return static_cast<size_t>(random() % n); };
@@ -96,7 +96,7 @@
   return text;
 }
 
-// ---- Targets ----------------------------------------------------------------------------------------------
+// ---- Targets
 
 // Two byte strings in one input: the first's length goes before it.
 std::string joined(const std::string& a, const std::string& b) {
@@ -393,7 +393,7 @@
   return all;
 }
 
-// ---- Running ----------------------------------------------------------------------------------------------
+// ---- Running
 
 const std::string* current = nullptr;
 
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -433,7 +433,7 @@
   other.reset();
 }
 
-// ---- Prepared statements ---------------------------------------------------------------------------------
+// ---- Prepared statements
 
 class PreparedLoopback : public Loopback {
  protected:
@@ -540,7 +540,7 @@
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived), 3u);
 }
 
-// ---- Bad input -------------------------------------------------------------------------------------------
+// ---- Bad input
 
 class BadInput : public Loopback {
  protected:
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -101,14 +101,14 @@
   std::string read(const flight::FlightInfo& with, const std::string& sql, QueryResult* out = nullptr) {
     const auto check = std::make_shared<nodes::AnswerCheck>(sql);
     if (with.endpoint_size() != 1) return "no endpoint";
-    const QueryResult r =
+    QueryResult r =
         spawn(client_->fetch(
                   with.endpoint(0).ticket().SerializeAsString(), options(10 * kSecond),
                   [check](const auto& schema, const auto& batch) { check->on_batch(schema, batch); }))
             .get();
     if (out != nullptr) *out = r;
     if (r.verdict != RequestStatus::kServed) return "not served: " + r.status.message;
-    const std::string fault = check->fault(true);
+    std::string fault = check->fault(true);
     const std::optional<arrowipc::Schema> promised = schema_of(with.schema());
     if (fault.empty() && promised && *promised != r.schema && !r.schema_changed) return "another schema";
     return fault;
@@ -119,7 +119,7 @@
     const flight::FlightInfo with = info(command);
     EXPECT_TRUE(schema_of(with.schema()));
     if (with.endpoint_size() != 1) return {};
-    const QueryResult r =
+    QueryResult r =
         spawn(client_->fetch(with.endpoint(0).ticket().SerializeAsString(), options(5 * kSecond))).get();
     EXPECT_TRUE(r.status.ok()) << r.status.message;
     return r;
@@ -140,7 +140,7 @@
   }
 };
 
-// ---- The order of calls of other libraries --------------------------------------------------------------
+// ---- The order of calls of other libraries
 
 // As a library does that prepares each statement, asks for its FlightInfo, decodes the schema there and only
 // then fetches.
@@ -261,7 +261,7 @@
   EXPECT_EQ(plans(), 0u);
 }
 
-// ---- One plan for all ------------------------------------------------------------------------------------
+// ---- One plan for all
 
 TEST_F(Schemas, AHundredClientsWithOneUnknownShapeMakeOnePlan) {
   add_node();
@@ -293,7 +293,7 @@
   EXPECT_EQ(plans(), 0u);
 }
 
-// ---- Hard cases ------------------------------------------------------------------------------------------
+// ---- Hard cases
 
 TEST_F(Schemas, ATableThatChangesBetweenPlanAndAnswer) {
   add_node();
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -166,7 +166,7 @@
   EXPECT_EQ(r.ends[End::kServed], 0u);
 }
 
-// ---- Named hard cases: each must really come about, which its account tells, and keep every rule ----------
+// ---- Named hard cases: each must really come about, which its account tells, and keep every rule
 
 struct HardCase {
   const char* name;
