--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -67,6 +67,9 @@
 /// - requests and buffered bytes stay within the limits;
 /// - a request that isn't streaming is completed by its client's deadline.
 ///
+/// The class is long because all events meet here: those of clients, transports and timers, and the manager's
+/// decisions. The state itself stands in the parts below (requests, buffers, timeouts, health checks).
+///
 /// Belongs to one strand, on which the clock, the transport and the servers call it. It performs no I/O and
 /// reads neither the wall clock nor a random device, so that equal events at equal times have equal effects.
 /// No method throws; errors of attempts arrive as results.
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -101,11 +101,11 @@
   std::string read(const flight::FlightInfo& with, const std::string& sql, QueryResult* out = nullptr) {
     const auto check = std::make_shared<nodes::AnswerCheck>(sql);
     if (with.endpoint_size() != 1) return "no endpoint";
-    QueryResult r =
-        spawn(client_->fetch(
-                  with.endpoint(0).ticket().SerializeAsString(), options(10 * kSecond),
-                  [check](const auto& schema, const auto& batch) { check->on_batch(schema, batch); }))
-            .get();
+    QueryResult r = spawn(client_->fetch(with.endpoint(0).ticket().SerializeAsString(), options(10 * kSecond),
+                                         [check](const auto& schema, const auto& batch) {
+                                           check->on_batch(schema, batch);
+                                         }))
+                        .get();
     if (out != nullptr) *out = r;
     if (r.verdict != RequestStatus::kServed) return "not served: " + r.status.message;
     std::string fault = check->fault(true);
