--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -2,7 +2,6 @@
 #include <gtest/gtest.h>
 
 #include "config/gateway_config.h"
-#include "membership/endpoint_registry.h"
 #include "nodes/node_config.h"
 
 namespace sablelink::config {
@@ -205,25 +204,5 @@
   EXPECT_FALSE(classify_statement("SELECT 1", "", {{"x-cost-us", "inf"}}).estimated_cost_us);
 }
 
-TEST(EndpointRegistry, ReplacedEndpoints_KeepTheirIds_NewOnesGetUnusedIds) {
-  membership::EndpointRegistry d;
-  EngineConfig a;
-  EngineConfig b;
-  a.name = "a";
-  a.address = "h:1";
-  b.name = "b";
-  b.address = "h:2";
-  d.replace({a, b});
-  const EngineId first = d.endpoints()[0].engine;
-  d.replace({b});
-  EXPECT_EQ(d.endpoints().size(), 1u);
-  EXPECT_EQ(d.address(first), "h:1");
-  a.address = "h:3";
-  d.replace({a, b});
-  EXPECT_NE(d.endpoints()[0].engine, first);
-  EXPECT_EQ(d.address(d.endpoints()[0].engine), "h:3");
-  EXPECT_EQ(d.address(99), "");
-}
-
 }  // namespace
 }  // namespace sablelink::config
--- a/tests/membership/endpoint_registry_test.cpp
+++ b/tests/membership/endpoint_registry_test.cpp
@@ -34,5 +34,25 @@
   EXPECT_EQ(registry.address(permanent_id), permanent.address);
 }
 
+TEST(EndpointRegistry, ReplacedEndpoints_KeepTheirIds_NewOnesGetUnusedIds) {
+  membership::EndpointRegistry registry;
+  config::EngineConfig a;
+  config::EngineConfig b;
+  a.name = "a";
+  a.address = "h:1";
+  b.name = "b";
+  b.address = "h:2";
+  registry.replace({a, b});
+  const EngineId first = registry.endpoints()[0].engine;
+  registry.replace({b});
+  EXPECT_EQ(registry.endpoints().size(), 1u);
+  EXPECT_EQ(registry.address(first), "h:1");
+  a.address = "h:3";
+  registry.replace({a, b});
+  EXPECT_NE(registry.endpoints()[0].engine, first);
+  EXPECT_EQ(registry.address(registry.endpoints()[0].engine), "h:3");
+  EXPECT_EQ(registry.address(99), "");
+}
+
 }  // namespace
 }  // namespace sablelink::test
