--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -77,7 +77,7 @@
   if (part_ == Part::kContentUntilClose)
     complete();
   else
-    fail(400, "the connection ended within an answer");
+    fail(400, "the connection ended within a response");
   return status_;
 }
 
@@ -146,7 +146,7 @@
   const bool is_whole = line_feed != std::string::npos;
   const size_t length = (is_whole ? line_feed + 1 : buffer_.size()) - parsed_;
   if (length > header_bytes_left_) {
-    fail(is_request() ? 431 : 400, "the head is too long");
+    fail(is_request() ? 431 : 400, "the header section is too long");
     return std::nullopt;
   }
   if (!is_whole) {
@@ -172,7 +172,7 @@
 }
 
 bool MessageReader::parse_request_line(std::string_view line) {
-  static constexpr char kNotARequestLine[] = "the first line is no request";
+  static constexpr char kNotARequestLine[] = "invalid request line";
   const size_t first_space = line.find(' ');
   const size_t last_space = line.rfind(' ');
   if (first_space == std::string_view::npos || first_space == last_space) return fail(400, kNotARequestLine);
@@ -192,7 +192,7 @@
 }
 
 bool MessageReader::parse_status_line(std::string_view line) {
-  static constexpr char kNotAStatusLine[] = "the first line is no answer";
+  static constexpr char kNotAStatusLine[] = "invalid status line";
   const std::string_view version = line.substr(0, kStatusCodeOffset - 1);
   const bool is_well_formed = line.size() >= kStatusCodeEnd && is_supported_version(version) &&
                               line[kStatusCodeOffset - 1] == ' ' &&
@@ -210,11 +210,11 @@
 bool MessageReader::parse_field(std::string_view line) {
   const size_t colon = line.find(':');
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon)))
-    return fail(400, "a field can't be read");
+    return fail(400, "invalid header field");
   const std::string_view value = trim_whitespace(line.substr(colon + 1));
-  if (!is_field_value(value)) return fail(400, "a field's value can't be read");
+  if (!is_field_value(value)) return fail(400, "invalid value of a header field");
   if (part_ == Part::kTrailerFields) return true;  // no trailer field is of use here
-  if (fields().size() >= limits_.max_fields) return fail(431, "too many fields");
+  if (fields().size() >= limits_.max_fields) return fail(431, "too many header fields");
   fields().emplace_back(ascii_to_lower(line.substr(0, colon)), value);
   return true;
 }
@@ -244,7 +244,7 @@
 bool MessageReader::skip_interim_response() {
   const bool switches_protocols = response_.status == 101;
   if (switches_protocols || ++interim_responses_ > limits_.max_interim_responses)
-    return fail(400, "too many interim answers");
+    return fail(400, "too many interim responses");
   response_ = {};
   header_bytes_left_ = limits_.max_header_bytes;
   part_ = Part::kStartLine;
@@ -256,7 +256,7 @@
   const Fields& header = fields();
   if (count(header, "transfer-encoding") > 1 ||
       ascii_to_lower(find(header, "transfer-encoding")) != "chunked")
-    return fail(501, "a transfer coding other than chunked");
+    return fail(501, "unsupported transfer coding");
   part_ = Part::kChunkSize;
   return true;
 }
@@ -268,7 +268,7 @@
   if (length.empty() || !std::all_of(length.begin(), length.end(), is_digit))
     return fail(400, "Content-Length is no length");
   const long long bytes = parse_decimal(length, static_cast<long long>(limits_.max_body_bytes));
-  if (bytes < 0) return fail(413, "the body is too long");
+  if (bytes < 0) return fail(413, "the content is too long");
   content_bytes_left_ = static_cast<size_t>(bytes);
   part_ = Part::kContent;
   return true;
@@ -292,15 +292,14 @@
   const std::optional<std::string_view> line = take_line();
   if (!line) return false;
   const std::string_view digits = trim_whitespace(line->substr(0, line->find(';')));  // without extensions
-  if (digits.empty() || digits.size() > kMaxChunkSizeDigits)
-    return fail(400, "a chunk's length can't be read");
+  if (digits.empty() || digits.size() > kMaxChunkSizeDigits) return fail(400, "invalid chunk size");
   size_t size = 0;
   for (const char c : digits) {
     const int digit = hex_digit_value(c);
-    if (digit < 0) return fail(400, "a chunk's length can't be read");
+    if (digit < 0) return fail(400, "invalid chunk size");
     size = size * 16 + static_cast<size_t>(digit);
   }
-  if (size > limits_.max_body_bytes - body().size()) return fail(413, "the body is too long");
+  if (size > limits_.max_body_bytes - body().size()) return fail(413, "the content is too long");
   content_bytes_left_ = size;
   header_bytes_left_ = limits_.max_header_bytes;
   const bool is_last_chunk = size == 0;
@@ -311,14 +310,14 @@
 bool MessageReader::parse_chunk_end() {
   static constexpr std::string_view kCrlf = "\r\n";
   if (buffered_bytes() < kCrlf.size()) return false;
-  if (!unparsed().starts_with(kCrlf)) return fail(400, "a chunk is longer than told");
+  if (!unparsed().starts_with(kCrlf)) return fail(400, "a chunk is longer than its size");
   consume(kCrlf.size());
   part_ = Part::kChunkSize;
   return true;
 }
 
 bool MessageReader::parse_content_until_close() {
-  if (body().size() + buffered_bytes() > limits_.max_body_bytes) return fail(413, "the body is too long");
+  if (body().size() + buffered_bytes() > limits_.max_body_bytes) return fail(413, "the content is too long");
   body() += unparsed();
   consume(buffered_bytes());
   return false;
--- a/src/platform/client_request.cpp
+++ b/src/platform/client_request.cpp
@@ -37,7 +37,7 @@
   const auto cls =
       std::find(options.classes.begin(), options.classes.end(), request.target.substr(kPath.size()));
   if (cls == options.classes.end()) return error(404, "no such class");
-  if (request.method != "POST") return error(405, "statements come by POST");
+  if (request.method != "POST") return error(405, "statements must be sent with POST");
   parsed.class_index = static_cast<int>(cls - options.classes.begin());
   return std::nullopt;
 }
@@ -45,7 +45,7 @@
 ErrorOrNone check_fields_are_single(const http::Request& request, const HttpServerOptions&, ClientRequest&) {
   for (const char* name : {"x-request-id", "x-timeout-ms", "x-retry", "x-tenant", "x-object", "x-cost-ms",
                            "x-est-mb", "idempotency-key"})
-    if (http::count(request.fields, name) > 1) return error(400, "a field stands more than once");
+    if (http::count(request.fields, name) > 1) return error(400, "duplicate header field");
   return std::nullopt;
 }
 
@@ -60,7 +60,8 @@
   const TimeUs max_timeout_us = options.max_timeout_us[parsed.class_index] + kTimeoutSlackUs;
   const long long timeout_ms =
       http::parse_decimal(http::find(request.fields, "x-timeout-ms"), max_timeout_us / 1000);
-  if (timeout_ms < kMinTimeoutUs / 1000) return error(400, "X-Timeout-Ms is no time that a client may wait");
+  if (timeout_ms < kMinTimeoutUs / 1000)
+    return error(400, "X-Timeout-Ms is not a time that a client may wait");
   parsed.timeout_us = timeout_ms * 1000;
   return std::nullopt;
 }
@@ -78,7 +79,7 @@
     if (!name.ends_with("-ms") && !name.ends_with("-mb")) continue;
     const std::optional<double> number = parse_non_negative(value);
     if (!number || *number > kMaxNumber)
-      return error(400, "a field of milliseconds or megabytes holds no number");
+      return error(400, "a header field in milliseconds or megabytes is not a number");
     if (name == "x-cost-ms") parsed.estimated_cost_us = 1000 * *number;
     if (name == "x-est-mb") parsed.estimated_memory_mb = *number;
   }
@@ -99,13 +100,13 @@
   parsed.idempotency_key = http::find(request.fields, "idempotency-key");
   parsed.ordering_key = http::find(request.fields, "x-object");
   if (!is_valid_key(parsed.idempotency_key) || !is_valid_key(parsed.ordering_key))
-    return error(400, "a key is longer than 256 bytes or holds other than plain signs");
+    return error(400, "a key exceeds 256 bytes or contains invalid characters");
   return std::nullopt;
 }
 
 ErrorOrNone check_statement(const http::Request& request, const HttpServerOptions&, ClientRequest&) {
-  if (request.body.empty()) return error(400, "there is no statement");
-  if (!is_plain_text(request.body)) return error(400, "the statement is no text");
+  if (request.body.empty()) return error(400, "missing statement");
+  if (!is_plain_text(request.body)) return error(400, "the statement is not valid text");
   return std::nullopt;
 }
 
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -149,7 +149,7 @@
   auto parsed = parse_client_request(request, context_.options);
   if (const auto* valid = std::get_if<ClientRequest>(&parsed);
       valid != nullptr && context_.open_request_ids.contains(valid->id))
-    parsed = ClientRequestError{409, "a request of this id is open"};
+    parsed = ClientRequestError{409, "a request with this id is in progress"};
   if (const auto* error = std::get_if<ClientRequestError>(&parsed)) {
     ++context_.counters.invalid_requests;
     respond(error->status, {}, error->message, keep_alive_);
@@ -315,7 +315,7 @@
   }
   if (elapsed_us <= kRequestTimeoutUs || stream_->readable()) return;
   ++context_.counters.request_timeouts;
-  respond_and_close(408, "no whole call has come in time");
+  respond_and_close(408, "request not received within 2.5 s");
 }
 
 TimeUs HttpConnection::idle_timeout_us() const {
--- a/tests/platform/client_request_test.cpp
+++ b/tests/platform/client_request_test.cpp
@@ -69,29 +69,31 @@
   const std::vector<Case> cases = {
       {changed([](auto& r) { r.target = "/v2/report"; }), 404, "no such path"},
       {changed([](auto& r) { r.target = "/v1/other"; }), 404, "no such class"},
-      {changed([](auto& r) { r.method = "GET"; }), 405, "statements come by POST"},
-      {with_fields({{"x-request-id", "9b1f03aa5c7e2d41"}}), 400, "a field stands more than once"},
+      {changed([](auto& r) { r.method = "GET"; }), 405, "statements must be sent with POST"},
+      {with_fields({{"x-request-id", "9b1f03aa5c7e2d41"}}), 400, "duplicate header field"},
       {changed([](auto& r) { r.fields[0].second = "9B1F03AA5C7E2D41"; }), 400,
        "X-Request-Id is not 16 hex digits"},
       {changed([](auto& r) { r.fields[1].second = "6001"; }), 400,
-       "X-Timeout-Ms is no time that a client may wait"},
+       "X-Timeout-Ms is not a time that a client may wait"},
       {changed([](auto& r) { r.fields[1].second = "0"; }), 400,
-       "X-Timeout-Ms is no time that a client may wait"},
+       "X-Timeout-Ms is not a time that a client may wait"},
       {with_fields({{"x-retry", "2"}}), 400, "X-Retry is not 1"},
-      {with_fields({{"other-ms", "soon"}}), 400, "a field of milliseconds or megabytes holds no number"},
-      {with_fields({{"x-est-mb", "1e10"}}), 400, "a field of milliseconds or megabytes holds no number"},
+      {with_fields({{"other-ms", "soon"}}), 400,
+       "a header field in milliseconds or megabytes is not a number"},
+      {with_fields({{"x-est-mb", "1e10"}}), 400,
+       "a header field in milliseconds or megabytes is not a number"},
       {with_fields({{"x-tenant", "west"}}), 400, "no such tenant"},
       {with_fields({{"x-object", "two words"}}), 400,
-       "a key is longer than 256 bytes or holds other than plain signs"},
+       "a key exceeds 256 bytes or contains invalid characters"},
       {with_fields({{"idempotency-key", std::string(257, 'a')}}), 400,
-       "a key is longer than 256 bytes or holds other than plain signs"},
-      {changed([](auto& r) { r.body = ""; }), 400, "there is no statement"},
-      {changed([](auto& r) { r.body = "SELECT \x01"; }), 400, "the statement is no text"},
+       "a key exceeds 256 bytes or contains invalid characters"},
+      {changed([](auto& r) { r.body = ""; }), 400, "missing statement"},
+      {changed([](auto& r) { r.body = "SELECT \x01"; }), 400, "the statement is not valid text"},
       {changed([](auto& r) {
          r.body = "";
          r.method = "GET";
        }),
-       405, "statements come by POST"},
+       405, "statements must be sent with POST"},
   };
   for (const Case& c : cases) {
     const auto parsed = platform::parse_client_request(c.request, server_options());
