--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -5,7 +5,7 @@
 namespace sablelink::http {
 namespace {
 
-constexpr size_t kMaxDecimalDigits = 18;  // any number of these fits into long long
+constexpr size_t kMaxDecimalDigits = 18;  // every number of this length fits into long long
 
 std::string_view reason_phrase(int status) {
   switch (status) {
@@ -57,13 +57,13 @@
 
 }  // namespace
 
-std::string_view find(const Fields& fields, std::string_view name) {
+std::string_view field_value(const Fields& fields, std::string_view name) {
   for (const auto& [field_name, value] : fields)
     if (field_name == name) return value;
   return {};
 }
 
-size_t count(const Fields& fields, std::string_view name) {
+size_t field_count(const Fields& fields, std::string_view name) {
   return std::count_if(fields.begin(), fields.end(), [&](const auto& field) { return field.first == name; });
 }
 
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -10,8 +10,8 @@
 
 constexpr size_t kMaxChunkLineBytes = 256;
 constexpr size_t kMaxChunkSizeDigits = 8;
-// Parsed bytes are discarded in batches: moving the rest for every piece would cost the square of its length.
-constexpr size_t kDiscardBytes = 16 << 10;
+// Parsed bytes are discarded in batches. Moving the remaining bytes for each piece would be quadratic.
+constexpr size_t kDiscardThresholdBytes = 16 << 10;
 constexpr size_t kStatusCodeOffset = 9;  // after "HTTP/1.1 "
 constexpr size_t kStatusCodeEnd = 12;
 
@@ -41,7 +41,7 @@
   return text;
 }
 
-// Whether a comma-separated list of tokens has one, which is given in lower case.
+// Whether a comma-separated list contains the token, which must be in lower case.
 bool list_contains(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const size_t comma = std::min(list.find(','), list.size());
@@ -51,7 +51,7 @@
   return false;
 }
 
-// -1 where it is none.
+// Returns -1 if the character is not a hexadecimal digit.
 int hex_digit_value(char c) {
   if (is_digit(c)) return c - '0';
   if (c >= 'a' && c <= 'f') return c - 'a' + 10;
@@ -68,7 +68,7 @@
   buffer_ += bytes;
   if (status_ == ParseStatus::kComplete) return status_;
   while (parse_element()) continue;
-  if (parsed_ > kDiscardBytes) discard_parsed_bytes();
+  if (parsed_bytes_ > kDiscardThresholdBytes) discard_parsed_bytes();
   return status_;
 }
 
@@ -84,24 +84,24 @@
 void MessageReader::start_next_message() {
   discard_parsed_bytes();
   if (buffer_.empty()) buffer_.shrink_to_fit();
-  searched_ = 0;
+  searched_bytes_ = 0;
   request_ = {};
   response_ = {};
   part_ = Part::kStartLine;
   status_ = ParseStatus::kNeedMore;
-  header_bytes_left_ = limits_.max_header_bytes;
+  remaining_header_bytes_ = limits_.max_header_bytes;
   interim_responses_ = 0;
 }
 
 void MessageReader::consume(size_t bytes) {
-  parsed_ += bytes;
-  searched_ = parsed_;
+  parsed_bytes_ += bytes;
+  searched_bytes_ = parsed_bytes_;
 }
 
 void MessageReader::discard_parsed_bytes() {
-  buffer_.erase(0, parsed_);
-  searched_ -= std::min(searched_, parsed_);
-  parsed_ = 0;
+  buffer_.erase(0, parsed_bytes_);
+  searched_bytes_ -= std::min(searched_bytes_, parsed_bytes_);
+  parsed_bytes_ = 0;
 }
 
 bool MessageReader::complete() {
@@ -114,8 +114,8 @@
   error_ = error;
   buffer_.clear();
   buffer_.shrink_to_fit();
-  parsed_ = 0;
-  searched_ = 0;
+  parsed_bytes_ = 0;
+  searched_bytes_ = 0;
   status_ = ParseStatus::kMalformed;
   return false;
 }
@@ -127,7 +127,7 @@
     case Part::kStartLine:
     case Part::kHeaderFields:
     case Part::kTrailerFields:
-      return parse_line_of_header();
+      return parse_header_line();
     case Part::kContent:
     case Part::kChunkData:
       return parse_content();
@@ -141,16 +141,16 @@
   return false;
 }
 
-std::optional<std::string_view> MessageReader::take_line() {
-  const size_t line_feed = buffer_.find('\n', searched_);
-  const bool is_whole = line_feed != std::string::npos;
-  const size_t length = (is_whole ? line_feed + 1 : buffer_.size()) - parsed_;
-  if (length > header_bytes_left_) {
+std::optional<std::string_view> MessageReader::read_line() {
+  const size_t line_feed = buffer_.find('\n', searched_bytes_);
+  const bool is_complete = line_feed != std::string::npos;
+  const size_t length = (is_complete ? line_feed + 1 : buffer_.size()) - parsed_bytes_;
+  if (length > remaining_header_bytes_) {
     fail(is_request() ? 431 : 400, "the header section is too long");
     return std::nullopt;
   }
-  if (!is_whole) {
-    searched_ = buffer_.size();
+  if (!is_complete) {
+    searched_bytes_ = buffer_.size();
     return std::nullopt;
   }
   if (length < 2 || buffer_[line_feed - 1] != '\r') {
@@ -159,12 +159,12 @@
   }
   const std::string_view line = unparsed().substr(0, length - 2);
   consume(length);
-  header_bytes_left_ -= length;
+  remaining_header_bytes_ -= length;
   return line;
 }
 
-bool MessageReader::parse_line_of_header() {
-  const std::optional<std::string_view> line = take_line();
+bool MessageReader::parse_header_line() {
+  const std::optional<std::string_view> line = read_line();
   if (!line) return false;
   if (part_ == Part::kStartLine) return is_request() ? parse_request_line(*line) : parse_status_line(*line);
   if (!line->empty()) return parse_field(*line);
@@ -172,17 +172,18 @@
 }
 
 bool MessageReader::parse_request_line(std::string_view line) {
-  static constexpr char kNotARequestLine[] = "invalid request line";
+  static constexpr char kInvalidRequestLine[] = "invalid request line";
   const size_t first_space = line.find(' ');
   const size_t last_space = line.rfind(' ');
-  if (first_space == std::string_view::npos || first_space == last_space) return fail(400, kNotARequestLine);
+  if (first_space == std::string_view::npos || first_space == last_space)
+    return fail(400, kInvalidRequestLine);
   const std::string_view method = line.substr(0, first_space);
   const std::string_view target = line.substr(first_space + 1, last_space - first_space - 1);
   const std::string_view version = line.substr(last_space + 1);
-  if (!is_token(method) || target.empty() || !is_visible_ascii(target)) return fail(400, kNotARequestLine);
+  if (!is_token(method) || target.empty() || !is_visible_ascii(target)) return fail(400, kInvalidRequestLine);
   if (!is_supported_version(version)) {
     if (version.starts_with("HTTP/")) return fail(505, "the version is not HTTP/1.1");
-    return fail(400, kNotARequestLine);
+    return fail(400, kInvalidRequestLine);
   }
   request_.method = method;
   request_.target = target;
@@ -192,15 +193,15 @@
 }
 
 bool MessageReader::parse_status_line(std::string_view line) {
-  static constexpr char kNotAStatusLine[] = "invalid status line";
+  static constexpr char kInvalidStatusLine[] = "invalid status line";
   const std::string_view version = line.substr(0, kStatusCodeOffset - 1);
   const bool is_well_formed = line.size() >= kStatusCodeEnd && is_supported_version(version) &&
                               line[kStatusCodeOffset - 1] == ' ' &&
                               (line.size() == kStatusCodeEnd || line[kStatusCodeEnd] == ' ');
-  if (!is_well_formed) return fail(400, kNotAStatusLine);
+  if (!is_well_formed) return fail(400, kInvalidStatusLine);
   const long long status =
       parse_decimal(line.substr(kStatusCodeOffset, kStatusCodeEnd - kStatusCodeOffset), 999);
-  if (status < 100 || status > 599) return fail(400, kNotAStatusLine);
+  if (status < 100 || status > 599) return fail(400, kInvalidStatusLine);
   response_.status = static_cast<int>(status);
   is_http_1_0_ = version == "HTTP/1.0";
   part_ = Part::kHeaderFields;
@@ -213,7 +214,7 @@
     return fail(400, "invalid header field");
   const std::string_view value = trim_whitespace(line.substr(colon + 1));
   if (!is_field_value(value)) return fail(400, "invalid value of a header field");
-  if (part_ == Part::kTrailerFields) return true;  // no trailer field is of use here
+  if (part_ == Part::kTrailerFields) return true;  // valid trailer fields are ignored
   if (fields().size() >= limits_.max_fields) return fail(431, "too many header fields");
   fields().emplace_back(ascii_to_lower(line.substr(0, colon)), value);
   return true;
@@ -225,12 +226,12 @@
   if (!is_request() && response_.status < 200) return skip_interim_response();
   const Fields& header = fields();
   bool& keep_alive = is_request() ? request_.keep_alive : response_.keep_alive;
-  keep_alive = !is_http_1_0_ && !list_contains(find(header, "connection"), "close");
-  const bool has_transfer_encoding = count(header, "transfer-encoding") > 0;
-  const bool has_content_length = count(header, "content-length") > 0;
+  keep_alive = !is_http_1_0_ && !list_contains(field_value(header, "connection"), "close");
+  const bool has_transfer_encoding = field_count(header, "transfer-encoding") > 0;
+  const bool has_content_length = field_count(header, "content-length") > 0;
   if (has_transfer_encoding && has_content_length)
     return fail(400, "both Content-Length and Transfer-Encoding");
-  if (count(header, "host") > 1) return fail(400, "more than one Host");
+  if (field_count(header, "host") > 1) return fail(400, "more than one Host");
   if (has_transfer_encoding) return start_chunked_content();
   const bool never_has_content = !is_request() && (response_.status == 204 || response_.status == 304);
   if (never_has_content) return complete();
@@ -246,7 +247,7 @@
   if (switches_protocols || ++interim_responses_ > limits_.max_interim_responses)
     return fail(400, "too many interim responses");
   response_ = {};
-  header_bytes_left_ = limits_.max_header_bytes;
+  remaining_header_bytes_ = limits_.max_header_bytes;
   part_ = Part::kStartLine;
   return true;
 }
@@ -254,8 +255,8 @@
 bool MessageReader::start_chunked_content() {
   if (is_http_1_0_) return fail(400, "Transfer-Encoding in HTTP/1.0");
   const Fields& header = fields();
-  if (count(header, "transfer-encoding") > 1 ||
-      ascii_to_lower(find(header, "transfer-encoding")) != "chunked")
+  if (field_count(header, "transfer-encoding") > 1 ||
+      ascii_to_lower(field_value(header, "transfer-encoding")) != "chunked")
     return fail(501, "unsupported transfer coding");
   part_ = Part::kChunkSize;
   return true;
@@ -263,13 +264,13 @@
 
 bool MessageReader::start_sized_content() {
   const Fields& header = fields();
-  if (count(header, "content-length") > 1) return fail(400, "more than one Content-Length");
-  const std::string_view length = find(header, "content-length");
+  if (field_count(header, "content-length") > 1) return fail(400, "more than one Content-Length");
+  const std::string_view length = field_value(header, "content-length");
   if (length.empty() || !std::all_of(length.begin(), length.end(), is_digit))
     return fail(400, "Content-Length is no length");
   const long long bytes = parse_decimal(length, static_cast<long long>(limits_.max_body_bytes));
   if (bytes < 0) return fail(413, "the content is too long");
-  content_bytes_left_ = static_cast<size_t>(bytes);
+  remaining_content_bytes_ = static_cast<size_t>(bytes);
   part_ = Part::kContent;
   return true;
 }
@@ -277,21 +278,22 @@
 // ---- Content
 
 bool MessageReader::parse_content() {
-  const std::string_view content = unparsed().substr(0, content_bytes_left_);
+  const std::string_view content = unparsed().substr(0, remaining_content_bytes_);
   body() += content;
-  content_bytes_left_ -= content.size();
+  remaining_content_bytes_ -= content.size();
   consume(content.size());
-  if (content_bytes_left_ > 0) return false;
+  if (remaining_content_bytes_ > 0) return false;
   if (part_ == Part::kContent) return complete();
   part_ = Part::kChunkEnd;
   return true;
 }
 
 bool MessageReader::parse_chunk_size() {
-  header_bytes_left_ = kMaxChunkLineBytes;
-  const std::optional<std::string_view> line = take_line();
+  remaining_header_bytes_ = kMaxChunkLineBytes;
+  const std::optional<std::string_view> line = read_line();
   if (!line) return false;
-  const std::string_view digits = trim_whitespace(line->substr(0, line->find(';')));  // without extensions
+  const std::string_view digits =
+      trim_whitespace(line->substr(0, line->find(';')));  // without chunk extensions
   if (digits.empty() || digits.size() > kMaxChunkSizeDigits) return fail(400, "invalid chunk size");
   size_t size = 0;
   for (const char c : digits) {
@@ -300,8 +302,8 @@
     size = size * 16 + static_cast<size_t>(digit);
   }
   if (size > limits_.max_body_bytes - body().size()) return fail(413, "the content is too long");
-  content_bytes_left_ = size;
-  header_bytes_left_ = limits_.max_header_bytes;
+  remaining_content_bytes_ = size;
+  remaining_header_bytes_ = limits_.max_header_bytes;
   const bool is_last_chunk = size == 0;
   part_ = is_last_chunk ? Part::kTrailerFields : Part::kChunkData;
   return true;
--- a/src/http/reader.h
+++ b/src/http/reader.h
@@ -1,8 +1,8 @@
-// Incremental parsing of HTTP/1.1 messages (RFC 9112). No I/O.
+// Incremental parsers of HTTP/1.1 messages (RFC 9112). No I/O.
 //
-// Every length is bounded. A message whose framing could be understood in two ways is malformed: both
-// Content-Length and Transfer-Encoding, several lengths, line ends other than CRLF, white space before a
-// colon, folded lines.
+// All lengths are limited. A message with ambiguous framing is malformed: both Content-Length and
+// Transfer-Encoding, several Content-Length fields, line breaks other than CRLF, folded lines, white space
+// before a colon.
 #pragma once
 
 #include <cstddef>
@@ -15,34 +15,34 @@
 namespace sablelink::http {
 
 struct MessageLimits {
-  size_t max_header_bytes = 8 << 10;  // start line and header fields; as much again for trailer fields
+  size_t max_header_bytes = 8 << 10;  // of start line and header fields, and again of trailer fields
   size_t max_fields = 64;
   size_t max_body_bytes = 256 << 10;
-  int max_interim_responses = 8;  // 1xx before the final response
+  int max_interim_responses = 8;  // responses with status 1xx before the final response
 };
 
 enum class ParseStatus { kNeedMore, kComplete, kMalformed };
 
-/// What the readers of requests and of responses have in common. A reader parses one message after the other
-/// from the bytes of one connection. After kMalformed it stays malformed, since framing is lost.
+/// Base class of RequestReader and ResponseReader. A reader parses the consecutive messages of one
+/// connection. kMalformed is final, because the boundaries of further messages are unknown.
 class MessageReader {
  public:
-  /// After kMalformed: the status of the response that a server gives, and its text.
+  /// After kMalformed: status and text of a server's error response.
   int error_status() const { return error_status_; }
   const char* error() const { return error_; }
 
-  /// Whether bytes have arrived that follow the message parsed so far.
-  bool has_buffered_bytes() const { return parsed_ < buffer_.size(); }
-  /// How many bytes have arrived that have not been parsed.
-  size_t buffered_bytes() const { return buffer_.size() - parsed_; }
-  /// True where no byte of the next message has arrived.
+  /// Whether any received bytes have not been parsed.
+  bool has_buffered_bytes() const { return parsed_bytes_ < buffer_.size(); }
+  /// The number of received bytes that have not been parsed.
+  size_t buffered_bytes() const { return buffer_.size() - parsed_bytes_; }
+  /// Whether no byte of the next message has been received.
   bool is_at_message_start() const { return part_ == Part::kStartLine && !has_buffered_bytes(); }
 
  protected:
   enum class MessageKind { kRequest, kResponse };
 
   MessageReader(MessageKind kind, const MessageLimits& limits)
-      : kind_(kind), limits_(limits), header_bytes_left_(limits.max_header_bytes) {}
+      : kind_(kind), limits_(limits), remaining_header_bytes_(limits.max_header_bytes) {}
 
   ParseStatus feed(std::string_view bytes);
   ParseStatus finish();
@@ -64,10 +64,10 @@
     kContentUntilClose,
   };
 
-  // The functions below that return bool parse one element. True: parsing goes on with the next one. False:
-  // the message is complete or malformed, or more bytes are needed.
+  // Each of these functions parses one element of the message. They return true if parsing continues with the
+  // next element, and false if the message is complete or malformed or more bytes are needed.
   bool parse_element();
-  bool parse_line_of_header();
+  bool parse_header_line();
   bool parse_request_line(std::string_view line);
   bool parse_status_line(std::string_view line);
   bool parse_field(std::string_view line);
@@ -82,10 +82,10 @@
   bool complete();
   bool fail(int status, const char* error);
 
-  // The next line without its CRLF, valid until the buffer changes; empty where it is incomplete or
-  // malformed.
-  std::optional<std::string_view> take_line();
-  std::string_view unparsed() const { return std::string_view(buffer_).substr(parsed_); }
+  // Consumes the next line and returns it without its CRLF, valid until the buffer changes. Empty if the line
+  // is incomplete or malformed.
+  std::optional<std::string_view> read_line();
+  std::string_view unparsed() const { return std::string_view(buffer_).substr(parsed_bytes_); }
   void consume(size_t bytes);
   void discard_parsed_bytes();
 
@@ -96,12 +96,12 @@
   const MessageKind kind_;
   const MessageLimits limits_;
   std::string buffer_;
-  size_t parsed_ = 0;    // of the buffer
-  size_t searched_ = 0;  // of the buffer, for the end of a line
+  size_t parsed_bytes_ = 0;    // at the start of the buffer
+  size_t searched_bytes_ = 0;  // at the start of the buffer, searched for a line feed
   Part part_ = Part::kStartLine;
   ParseStatus status_ = ParseStatus::kNeedMore;
-  size_t header_bytes_left_;
-  size_t content_bytes_left_ = 0;  // of the content or of the chunk
+  size_t remaining_header_bytes_;
+  size_t remaining_content_bytes_ = 0;  // of the content or the current chunk
   int interim_responses_ = 0;
   bool is_http_1_0_ = false;
   int error_status_ = 0;
@@ -112,9 +112,9 @@
  public:
   explicit RequestReader(const MessageLimits& limits) : MessageReader(MessageKind::kRequest, limits) {}
 
-  /// Parses the bytes and what was buffered. Bytes that follow a complete message are buffered.
+  /// Parses the buffered bytes and then `bytes`. Bytes after the end of a message are buffered.
   ParseStatus feed(std::string_view bytes) { return MessageReader::feed(bytes); }
-  /// After kComplete: takes the message and goes on to the next one, which may be buffered: feed({}).
+  /// After kComplete: returns the message and starts the next one. feed({}) parses the bytes buffered for it.
   Request take();
 };
 
@@ -122,13 +122,14 @@
  public:
   explicit ResponseReader(const MessageLimits& limits) : MessageReader(MessageKind::kResponse, limits) {}
 
-  /// As of RequestReader. Interim responses are skipped.
+  /// Like RequestReader::feed(). Interim responses are skipped.
   ParseStatus feed(std::string_view bytes) { return MessageReader::feed(bytes); }
-  /// The connection has ended, which completes content without a length and cuts off any other.
+  /// Must be called at the end of the connection. Completes content without a length; an incomplete message
+  /// of any other kind is malformed.
   ParseStatus finish() { return MessageReader::finish(); }
-  /// After kComplete.
+  /// After kComplete: the message.
   const Response& response() const { return response_; }
-  /// As of RequestReader.
+  /// Like RequestReader::take().
   Response take();
 };
 
--- a/src/platform/arrival_times.h
+++ b/src/platform/arrival_times.h
@@ -1,4 +1,4 @@
-// When the bytes of a connection arrived.
+// Arrival times of a connection's bytes.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,8 @@
 
 namespace sablelink::platform {
 
-/// Remembers when bytes arrived, so that the timeout of a pipelined request starts when it arrived and not
-/// when the requests before it were answered.
+/// Records the arrival times of bytes, so that the timeout of a pipelined request starts at the request's
+/// arrival and not at the response to the previous request.
 class ArrivalTimes {
  public:
   void record(size_t bytes, TimeUs now) {
@@ -21,26 +21,26 @@
       arrivals_.back().end_offset = total_bytes_;
   }
 
-  /// When the byte arrived that precedes the newest `pending_bytes`. Forgets what arrived before it. Empty
-  /// where nothing has been recorded.
-  std::optional<TimeUs> consume_all_but(size_t pending_bytes) {
+  /// Returns the arrival time of the byte before the last `pending_bytes` bytes and discards earlier
+  /// arrivals. Empty if no arrival was recorded.
+  std::optional<TimeUs> consume_until_pending(size_t pending_bytes) {
     const size_t end_offset = total_bytes_ - pending_bytes;
     while (arrivals_.size() > 1 && arrivals_.front().end_offset < end_offset) arrivals_.pop_front();
     if (arrivals_.empty()) return std::nullopt;
     return arrivals_.front().time;
   }
 
-  /// Forgets all but the newest arrival.
-  void keep_newest() {
+  /// Discards all arrivals but the newest one.
+  void discard_all_but_newest() {
     while (arrivals_.size() > 1) arrivals_.pop_front();
   }
 
  private:
   struct Arrival {
-    size_t end_offset = 0;  // in the bytes of the whole connection
+    size_t end_offset = 0;  // in the connection's byte stream
     TimeUs time = 0;
   };
-  static constexpr TimeUs kResolutionUs = 1'000;  // arrivals closer than this are one entry
+  static constexpr TimeUs kResolutionUs = 1'000;  // arrivals within this time are recorded as one
 
   std::deque<Arrival> arrivals_;
   size_t total_bytes_ = 0;
--- a/src/platform/client_request.h
+++ b/src/platform/client_request.h
@@ -1,4 +1,4 @@
-// Validation of client requests: HTTP requests become typed values or typed errors. Pure, no I/O.
+// Parsing and validation of client requests. Pure: no I/O.
 #pragma once
 
 #include <optional>
@@ -11,26 +11,26 @@
 
 namespace sablelink::platform {
 
-/// A valid request of a client. Its statement stays in the body of the HTTP request.
+/// A valid client request, without its statement, which remains in the body of the HTTP request.
 struct ClientRequest {
-  std::string id;  // the client's own, 16 hexadecimal digits
+  std::string id;  // chosen by the client; 16 hexadecimal digits
   int class_index = 0;
   int tenant = 0;
-  TimeUs timeout_us = 0;  // how long the client waits, from the arrival of its last byte
+  TimeUs timeout_us = 0;  // from the arrival of the request's last byte
   bool is_retry = false;
-  std::optional<double> estimated_cost_us;  // the client's estimate of its execution time
-  double estimated_memory_mb = 0;           // ... and of its memory; 0: none given
-  std::string idempotency_key;              // empty: none given
-  std::string ordering_key;                 // empty: none given
+  std::optional<double> estimated_cost_us;  // execution time, as estimated by the client
+  double estimated_memory_mb = 0;           // as estimated by the client; 0: no estimate
+  std::string idempotency_key;              // empty: no key
+  std::string ordering_key;                 // empty: no key
 };
 
-/// Why a request is invalid, as the error response says it.
+/// Status and body of the response to an invalid request.
 struct ClientRequestError {
   int status = 0;
   const char* message = "";
 };
 
-/// Validates a request by the platform's protocol.
+/// Parses and validates a request of the platform's protocol.
 std::variant<ClientRequest, ClientRequestError> parse_client_request(const http::Request& request,
                                                                      const HttpServerOptions& options);
 
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -1,4 +1,4 @@
-// What the platform gives a gateway: the JSON object in the file that BALANCER_CONFIG names.
+// Configuration of a gateway by the platform: the JSON object in the file named by BALANCER_CONFIG.
 #pragma once
 
 #include <cstdint>
@@ -19,18 +19,18 @@
   std::string listen_address;  // "host:port", for clients
   uint64_t seed = 0;           // of the decision module's random numbers
 
-  // What this process may use.
+  // Resource limits of this process.
   double cpu_cores = 1;
   size_t memory_mb = 192;
   size_t max_descriptors = 256;
 
-  std::string watch_address;               // "host:port" of the watch on the endpoint list
-  std::vector<WatchEvent> initial_events;  // what is known of the list at the start
-  uint64_t initial_sequence_number = 0;    // the watch continues after this event
+  std::string watch_address;               // "host:port" of the change log
+  std::vector<WatchEvent> initial_events;  // of the change log, known at startup
+  uint64_t initial_sequence_number = 0;    // of the last event that the configuration covers
 
   Settings settings;
   SettingNames names;
-  TimeUs dial_timeout_us = 250'000;            // an engine that hasn't accepted by then is unreachable
+  TimeUs dial_timeout_us = 250'000;            // an engine that accepts no connection in time is unreachable
   TimeUs engine_idle_timeout_us = 15'000'000;  // engines close connections that are idle for this long
 };
 
--- a/src/platform/config_error.h
+++ b/src/platform/config_error.h
@@ -1,11 +1,11 @@
-// The error type of the platform's configuration and messages.
+// Error type for the platform's configuration and messages.
 #pragma once
 
 #include "workload/error.h"
 
 namespace sablelink::platform {
 
-/// JSON of the platform that can't be used. The message names the key and what was expected.
+/// Invalid JSON from the platform. The message contains the key and the reason.
 class ConfigError : public Error {
  public:
   using Error::Error;
--- a/src/platform/connection_admission.cpp
+++ b/src/platform/connection_admission.cpp
@@ -5,15 +5,15 @@
 namespace sablelink::platform {
 namespace {
 
-constexpr size_t kReservedShare = 10;         // one connection in so many is reserved for rejecting requests
-constexpr size_t kMaxSkippedConnections = 8;  // each costs a system call
+constexpr size_t kReservedDivisor = 10;       // one tenth of the connections only rejects requests
+constexpr size_t kMaxSkippedConnections = 8;  // checking each one costs a system call
 
 }  // namespace
 
 AdmissionDecision ConnectionAdmission::decide() {
   const size_t limit = context_.options.max_connections;
-  const size_t regular_limit = limit - limit / kReservedShare;
-  const bool has_capacity = connections_.size() < regular_limit || evict_one();
+  const size_t regular_limit = limit - limit / kReservedDivisor;
+  const bool has_capacity = connections_.size() < regular_limit || evict_connection();
   if (connections_.size() >= limit) {
     ++context_.counters.rejected_at_capacity;
     return AdmissionDecision::kCloseUnread;
@@ -21,9 +21,9 @@
   return has_capacity ? AdmissionDecision::kServe : AdmissionDecision::kRejectRequests;
 }
 
-bool ConnectionAdmission::evict_one() {
+bool ConnectionAdmission::evict_connection() {
   const TimeUs now = context_.clock.now();
-  Skipped skipped;  // a request of theirs waits to be read
+  Skipped skipped;  // connections with unread bytes, which may be a request
   while (skipped.size() < kMaxSkippedConnections) {
     const std::shared_ptr<HttpConnection> candidate = find_evictable(now, skipped);
     if (!candidate) return false;
--- a/src/platform/connection_admission.h
+++ b/src/platform/connection_admission.h
@@ -1,4 +1,4 @@
-// Admits client connections up to a limit and evicts idle ones in favour of new ones.
+// Admission control of client connections: enforces a limit and evicts idle connections for new ones.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,14 @@
 
 namespace sablelink::platform {
 
+/// How a new connection is handled.
 enum class AdmissionDecision {
   kServe,
-  kRejectRequests,  // all regular connections are in use: its requests are answered with 503
-  kCloseUnread,     // the limit itself is reached
+  kRejectRequests,  // all regular connections are in use: requests are rejected with 503
+  kCloseUnread,     // the limit of connections is reached: close without reading
 };
 
-/// Owns the list of open connections of one server. Used on the server's strand.
+/// Owns the list of a server's open connections. Used only on the server's strand.
 class ConnectionAdmission {
  public:
   using ConnectionList = std::list<std::shared_ptr<HttpConnection>>;
@@ -25,21 +26,21 @@
   /// `context` must outlive this object.
   explicit ConnectionAdmission(HttpServerContext& context) : context_(context) {}
 
-  /// Decides on one new connection. May evict an open one; counts both.
+  /// Decides how to handle a new connection. May evict an open one. Counts evictions and rejections.
   AdmissionDecision decide();
   void add(std::shared_ptr<HttpConnection> connection) { connections_.push_back(std::move(connection)); }
   void remove(const std::shared_ptr<HttpConnection>& connection) { connections_.remove(connection); }
 
-  /// Oldest first.
+  /// All open connections, oldest first.
   const ConnectionList& connections() const { return connections_; }
 
  private:
   using Skipped = std::vector<std::shared_ptr<HttpConnection>>;
 
-  // False where every connection is in use.
-  bool evict_one();
-  // The connection of the highest rank that has not been skipped, of equal ones the longest in its stage;
-  // null where none can be evicted.
+  // Evicts a connection. Returns false if none can be evicted.
+  bool evict_connection();
+  // Returns the connection with the highest eviction rank that is not in `skipped`; of several, the one that
+  // has been in its stage for the longest time. Null if none can be evicted.
   std::shared_ptr<HttpConnection> find_evictable(TimeUs now, const Skipped& skipped) const;
 
   HttpServerContext& context_;
--- a/src/platform/descriptor_budget.h
+++ b/src/platform/descriptor_budget.h
@@ -1,4 +1,4 @@
-// How a gateway divides the file descriptors that it may hold. Pure.
+// Division of a gateway's file descriptors between client and engine connections. Pure.
 #pragma once
 
 #include <algorithm>
@@ -11,10 +11,10 @@
   size_t clients = 0;  // client connections
   size_t engines = 0;  // connections to all engines together
 
-  /// Clients hold at most a third of the limit in normal operation. Their share is larger, for connections
-  /// that are rejected and for clients that reconnect while their former connections are still being closed.
+  /// In normal operation, clients use at most a third of the descriptors. Their limit is higher, for
+  /// connections that are rejected and for clients that reconnect before their old connections are closed.
   static DescriptorBudget from_limit(size_t max_descriptors) {
-    // Standard streams, event loop, signals, listener, endpoint watch, configuration file, spare.
+    // Standard streams, event loop, signals, listener, change log, configuration file, spare descriptors.
     constexpr size_t kReservedDescriptors = 24;
     constexpr size_t kMinConnections = 4;
     const size_t available = max_descriptors - std::min(max_descriptors, kReservedDescriptors);
@@ -24,7 +24,7 @@
     return budget;
   }
 
-  /// The limit of connections to one of `engine_count` engines.
+  /// Limit of connections to each of `engine_count` engines.
   size_t per_engine(size_t engine_count) const {
     constexpr size_t kMinPerEngine = 2;
     return std::max(engines / std::max<size_t>(engine_count, 1), kMinPerEngine);
--- a/src/platform/endpoints/change_log_reader.cpp
+++ b/src/platform/endpoints/change_log_reader.cpp
@@ -25,7 +25,7 @@
     }
     partial_line_ += bytes.substr(0, line_end);
     bytes.remove_prefix(line_end + 1);
-    ++complete_lines_;
+    ++complete_line_count_;
     const std::string line = std::exchange(partial_line_, {});
     if (!read_line(line, handler)) return false;
   }
@@ -39,7 +39,8 @@
   return read_event(line, handler);
 }
 
-// A heartbeat is the sequence number of the log's last event: a later one than ours has been missed.
+// A heartbeat is the sequence number of the log's last event. A number above last_sequence_number_ means that
+// events are missing.
 bool ChangeLogReader::read_heartbeat(std::string_view line) const {
   const long long sequence_number = http::parse_decimal(line, kMaxSequenceNumber);
   return sequence_number >= 0 && static_cast<uint64_t>(sequence_number) <= last_sequence_number_;
@@ -59,14 +60,14 @@
   return true;
 }
 
-void ChangeLogReader::add_known_events(const std::vector<WatchEvent>& events, uint64_t last_included,
-                                       const EventHandler& handler) {
+void ChangeLogReader::add_known_events(const std::vector<WatchEvent>& events,
+                                       uint64_t last_included_sequence_number, const EventHandler& handler) {
   for (const WatchEvent& event : events) {
     if (event.sequence_number <= last_sequence_number_) continue;
     last_sequence_number_ = event.sequence_number;
     handler(event);
   }
-  last_sequence_number_ = std::max(last_sequence_number_, last_included);
+  last_sequence_number_ = std::max(last_sequence_number_, last_included_sequence_number);
 }
 
 }  // namespace sablelink::platform
--- a/src/platform/endpoints/change_log_reader.h
+++ b/src/platform/endpoints/change_log_reader.h
@@ -1,4 +1,4 @@
-// Reads the platform's change log: a stream of lines, each an event in JSON or a heartbeat.
+// Parser of the platform's change log, a stream of lines that are JSON events or heartbeats.
 #pragma once
 
 #include <cstddef>
@@ -12,28 +12,28 @@
 
 namespace sablelink::platform {
 
-/// Passes each event on once and in the order of their sequence numbers, from bytes in any pieces and across
-/// connections. Pure: no I/O.
+/// Parses the bytes of consecutive connections, in pieces of any size, and passes each event to a handler
+/// once, in the order of sequence numbers. Pure: no I/O.
 class ChangeLogReader {
  public:
   using EventHandler = std::function<void(const WatchEvent&)>;
 
-  /// `last_sequence_number` is that of the last event that is known already.
+  /// `last_sequence_number` is the sequence number of the last event that is already known.
   ChangeLogReader(uint64_t last_sequence_number, SettingNames names);
 
-  /// Sequence number of the last event that was passed on or is known otherwise.
+  /// Sequence number of the last event that was passed to a handler or is already known.
   uint64_t last_sequence_number() const { return last_sequence_number_; }
-  /// Complete lines read so far, on all connections.
-  uint64_t complete_lines() const { return complete_lines_; }
+  /// Number of complete lines read on all connections.
+  uint64_t complete_line_count() const { return complete_line_count_; }
 
-  /// A new connection begins; the part of a line that came on the previous one is dropped.
+  /// Must be called for each new connection. Discards the previous connection's incomplete last line.
   void on_connected() { partial_line_.clear(); }
-  /// Reads bytes and calls the handler for each new event. False: an event is missing, or a line is malformed
-  /// or too long; a new connection must ask for what follows last_sequence_number().
+  /// Parses bytes and calls the handler for each new event. Returns false if an event is missing or a line is
+  /// malformed or too long; a new connection must then request the events after last_sequence_number().
   bool feed(std::string_view bytes, const EventHandler& handler);
-  /// Passes on the new ones of a configuration's events. The configuration includes all events up to
-  /// `last_included`.
-  void add_known_events(const std::vector<WatchEvent>& events, uint64_t last_included,
+  /// Passes the new events of a configuration to the handler. The configuration covers all events up to
+  /// `last_included_sequence_number`.
+  void add_known_events(const std::vector<WatchEvent>& events, uint64_t last_included_sequence_number,
                         const EventHandler& handler);
 
  private:
@@ -42,7 +42,7 @@
   bool read_event(std::string_view line, const EventHandler& handler);
 
   uint64_t last_sequence_number_;
-  uint64_t complete_lines_ = 0;
+  uint64_t complete_line_count_ = 0;
   const SettingNames names_;
   std::string partial_line_;
 };
--- a/src/platform/endpoints/endpoint_set.cpp
+++ b/src/platform/endpoints/endpoint_set.cpp
@@ -4,7 +4,7 @@
 
 bool EndpointSet::apply(const WatchEvent& event) {
   if (!event.has_endpoints) return false;
-  if (event.is_complete) endpoints_.clear();
+  if (event.replaces_list) endpoints_.clear();
   for (const WatchEvent::EndpointChange& change : event.endpoints) {
     if (change.is_removed) {
       endpoints_.erase(change.endpoint.name);
--- a/src/platform/endpoints/endpoint_set.h
+++ b/src/platform/endpoints/endpoint_set.h
@@ -1,4 +1,4 @@
-// The engines' endpoints as the change log's events leave them.
+// Endpoint list that results from the events of the change log.
 #pragma once
 
 #include <map>
@@ -9,12 +9,12 @@
 
 namespace sablelink::platform {
 
-/// Endpoint list that events are applied to in their order. Pure.
+/// Applies events to an endpoint list, in order of sequence numbers. Pure.
 class EndpointSet {
  public:
-  /// True: the event was about endpoints, so that the list may have changed.
+  /// Applies an event. Returns false if the event does not concern endpoints, so the list is unchanged.
   bool apply(const WatchEvent& event);
-  /// The list, ordered by name.
+  /// All endpoints, ordered by name.
   std::vector<config::EngineConfig> endpoints() const;
 
  private:
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -11,11 +11,11 @@
 namespace sablelink::platform {
 namespace {
 
-constexpr TimeUs kSilenceTimeoutUs = 1'700'000;  // heartbeats come each second
+constexpr TimeUs kHeartbeatTimeoutUs = 1'700'000;  // the change log sends a heartbeat every second
 constexpr TimeUs kDialTimeoutUs = 500'000;
 constexpr TimeUs kMinBackoffUs = 20'000;
 constexpr TimeUs kMaxBackoffUs = 400'000;
-constexpr TimeUs kReconnectDelayUs = 10'000;  // after a connection on which complete lines came
+constexpr TimeUs kReconnectDelayUs = 10'000;  // after a connection that received complete lines
 constexpr size_t kReadBytes = 16 << 10;
 
 }  // namespace
@@ -64,21 +64,22 @@
     if (!self || generation != connection_generation_) co_return;
     if (!stream) continue;
     activate(generation, stream);
-    const bool lines_came = co_await read_events(generation, address, stream);
+    const bool received_lines = co_await read_events(generation, address, stream);
     if (!self || generation < active_generation_) co_return;
-    if (lines_came) backoff_us = kReconnectDelayUs;
+    if (received_lines) backoff_us = kReconnectDelayUs;
   }
 }
 
 void EndpointWatcher::activate(uint64_t generation, const std::shared_ptr<rpc::ByteStream>& stream) {
-  // What the previous connection has yet to deliver is requested again by its sequence number.
+  // Events that the previous connection has not delivered are requested again, by sequence number.
   if (active_stream_) active_stream_->close();
   active_stream_ = stream;
   active_generation_ = generation;
   reader_->on_connected();
 }
 
-// Reads until the connection ends, is replaced or misses an event. True: it brought valid complete lines.
+// Reads events until the connection ends, is replaced or an event is missing. Returns true if the connection
+// received valid complete lines.
 rpc::Awaitable<bool> EndpointWatcher::read_events(uint64_t generation, std::string address,
                                                   std::shared_ptr<rpc::ByteStream> stream) {
   const WeakPtr<EndpointWatcher> self = weak_factory_.get_weak_ptr();
@@ -88,37 +89,38 @@
   log_.info("endpoint_watch_started",
             {{"address", address}, {"since", std::to_string(reader_->last_sequence_number())}});
   last_line_at_ = clock_.now();
-  check_silence(stream);
-  bool lines_came = false;
+  check_heartbeat_timeout(stream);
+  bool received_lines = false;
   while (true) {
     const std::optional<std::string> bytes = co_await stream->read(kReadBytes);
     if (!self || generation < active_generation_) co_return false;
     if (!bytes || bytes->empty()) break;
-    const uint64_t lines_before = reader_->complete_lines();
+    const uint64_t previous_line_count = reader_->complete_line_count();
     const bool in_sequence = reader_->feed(*bytes, event_handler());
     notify_if_changed();
     if (!in_sequence) break;
-    if (reader_->complete_lines() == lines_before) continue;  // part of a line is no sign of life
+    if (reader_->complete_line_count() == previous_line_count)
+      continue;  // an incomplete line is no heartbeat
     last_line_at_ = clock_.now();
-    lines_came = true;
+    received_lines = true;
   }
   stream->close();
   log_.info("endpoint_watch_lost",
             {{"address", address}, {"last", std::to_string(reader_->last_sequence_number())}});
-  co_return lines_came;
+  co_return received_lines;
 }
 
-// Closes the stream when no complete line has come for too long; until then, checks again when that may be.
-void EndpointWatcher::check_silence(const std::weak_ptr<rpc::ByteStream>& watched) {
-  const std::shared_ptr<rpc::ByteStream> stream = watched.lock();
+// Closes the stream if no complete line was received within the timeout; otherwise schedules the next check.
+void EndpointWatcher::check_heartbeat_timeout(const std::weak_ptr<rpc::ByteStream>& watched_stream) {
+  const std::shared_ptr<rpc::ByteStream> stream = watched_stream.lock();
   if (!stream || stream != active_stream_) return;
-  const TimeUs remaining_us = last_line_at_ + kSilenceTimeoutUs - clock_.now();
+  const TimeUs remaining_us = last_line_at_ + kHeartbeatTimeoutUs - clock_.now();
   if (remaining_us <= 0) {
     stream->close();
     return;
   }
-  clock_.call_after(remaining_us, [self = weak_factory_.get_weak_ptr(), watched] {
-    if (self) self->check_silence(watched);
+  clock_.call_after(remaining_us, [self = weak_factory_.get_weak_ptr(), watched_stream] {
+    if (self) self->check_heartbeat_timeout(watched_stream);
   });
 }
 
--- a/src/platform/engine_client/call_queue.cpp
+++ b/src/platform/engine_client/call_queue.cpp
@@ -5,22 +5,22 @@
 
 namespace sablelink::platform {
 
-void CallQueue::push_back(EngineCall call) { of_type(call.type).push_back(std::move(call)); }
+void CallQueue::push_back(EngineCall call) { calls_of_type(call.type).push_back(std::move(call)); }
 
-void CallQueue::push_front(EngineCall call) { of_type(call.type).push_front(std::move(call)); }
+void CallQueue::push_front(EngineCall call) { calls_of_type(call.type).push_front(std::move(call)); }
 
 EngineCall CallQueue::pop() {
-  const auto calls =
-      std::find_if(calls_.begin(), calls_.end(), [](const auto& of_type) { return !of_type.empty(); });
-  EngineCall call = std::move(calls->front());
-  calls->pop_front();
+  const auto queue = std::find_if(calls_by_type_.begin(), calls_by_type_.end(),
+                                  [](const auto& calls) { return !calls.empty(); });
+  EngineCall call = std::move(queue->front());
+  queue->pop_front();
   return call;
 }
 
-std::deque<EngineCall> CallQueue::take_all(CallType type) { return std::exchange(of_type(type), {}); }
+std::deque<EngineCall> CallQueue::pop_all(CallType type) { return std::exchange(calls_of_type(type), {}); }
 
 void CallQueue::remove_attempt(const std::shared_ptr<EngineAttempt>& attempt) {
-  for (std::deque<EngineCall>& calls : calls_) {
+  for (std::deque<EngineCall>& calls : calls_by_type_) {
     std::erase_if(calls, [&](const EngineCall& call) {
       return call.attempt == attempt && call.type != CallType::kCancel;
     });
@@ -29,7 +29,7 @@
 
 size_t CallQueue::size() const {
   size_t total = 0;
-  for (const std::deque<EngineCall>& calls : calls_) total += calls.size();
+  for (const std::deque<EngineCall>& calls : calls_by_type_) total += calls.size();
   return total;
 }
 
--- a/src/platform/engine_client/call_queue.h
+++ b/src/platform/engine_client/call_queue.h
@@ -1,4 +1,4 @@
-// Calls to one engine that wait for a connection, by priority.
+// Priority queue of the calls to one engine that wait for a connection.
 #pragma once
 
 #include <array>
@@ -10,40 +10,39 @@
 
 namespace sablelink::platform {
 
-/// What a call asks of an engine, from the highest priority to the lowest.
+/// Types of calls to an engine, from the highest priority to the lowest.
 enum class CallType { kCancel, kStart, kFetchPage, kPoll };
 constexpr size_t kCallTypes = 4;
 
-/// One HTTP request to an engine on behalf of an attempt.
+/// An HTTP request to an engine on behalf of an attempt.
 struct EngineCall {
   CallType type = CallType::kPoll;
   std::shared_ptr<EngineAttempt> attempt;
-  int page = 0;      // of kFetchPage
-  int failures = 0;  // of kCancel: how often this cancellation has failed
+  int page = 0;             // with kFetchPage: index of the page
+  int cancel_failures = 0;  // with kCancel: how many calls for this cancellation have failed
 };
 
-/// Queue of the calls to one engine: a call of a higher priority goes first, calls of equal priority in the
-/// order in which they came.
+/// Queue of the calls to one engine, ordered by priority and then by insertion.
 class CallQueue {
  public:
   void push_back(EngineCall call);
-  /// Puts a call that is repeated before the others of its type.
+  /// Inserts a repeated call before the other calls of its type.
   void push_front(EngineCall call);
-  /// The next call. Must not be empty.
+  /// Removes and returns the next call. The queue must not be empty.
   EngineCall pop();
-  /// Takes all calls of a type.
-  std::deque<EngineCall> take_all(CallType type);
-  /// Removes the attempt's calls, except for its cancellation.
+  /// Removes and returns all calls of a type.
+  std::deque<EngineCall> pop_all(CallType type);
+  /// Removes all calls of the attempt except its cancellation.
   void remove_attempt(const std::shared_ptr<EngineAttempt>& attempt);
 
-  bool has(CallType type) const { return !calls_[static_cast<size_t>(type)].empty(); }
+  bool has(CallType type) const { return !calls_by_type_[static_cast<size_t>(type)].empty(); }
   size_t size() const;
   bool empty() const { return size() == 0; }
 
  private:
-  std::deque<EngineCall>& of_type(CallType type) { return calls_[static_cast<size_t>(type)]; }
+  std::deque<EngineCall>& calls_of_type(CallType type) { return calls_by_type_[static_cast<size_t>(type)]; }
 
-  std::array<std::deque<EngineCall>, kCallTypes> calls_;  // by type
+  std::array<std::deque<EngineCall>, kCallTypes> calls_by_type_;
 };
 
 }  // namespace sablelink::platform
--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -14,19 +14,20 @@
 namespace sablelink::platform {
 namespace {
 
-// Beyond the time for which an engine holds a call. A repeated call costs a connection, waiting costs the
-// client.
+// Timeout of a call, in addition to the long-poll timeout of a start or a poll. A shorter timeout spends more
+// connections on repeated calls; a longer one delays the client's response.
 constexpr TimeUs kCallTimeoutUs = 120'000;
-constexpr TimeUs kMinBackoffUs = 25'000;
-constexpr TimeUs kMaxBackoffUs = 200'000;
-// While all connections are in use. Other engines' connections don't announce that they become idle.
-constexpr TimeUs kBudgetRetryUs = 25'000;
-// A connection takes no call for this long after a response, so that a duplicate of the response shows before
-// it could be taken for the response to the next call.
-constexpr TimeUs kSettleUs = 5'000;
+constexpr TimeUs kMinDialBackoffUs = 25'000;
+constexpr TimeUs kMaxDialBackoffUs = 200'000;
+// Delay before an engine's dispatch is retried while the connection budget is used up. Nothing notifies the
+// engine when a connection to another engine becomes idle.
+constexpr TimeUs kBudgetRetryDelayUs = 25'000;
+// Delay after a response before its connection is reused. A duplicate of the response that arrives meanwhile
+// is detected and cannot be mistaken for the response to the next call.
+constexpr TimeUs kReuseDelayUs = 5'000;
 constexpr size_t kReadBytes = 8 << 10;
 
-http::MessageLimits read_limits() {
+http::MessageLimits response_limits() {
   http::MessageLimits limits;
   limits.max_body_bytes = kMaxPageBytes;
   return limits;
@@ -38,13 +39,13 @@
 
 struct ConnectionPool::Connection {
   Connection(std::shared_ptr<rpc::ByteStream> byte_stream, TimeUs now)
-      : stream(std::move(byte_stream)), reader(read_limits()), idle_since(now) {}
+      : stream(std::move(byte_stream)), reader(response_limits()), idle_since(now) {}
 
   const std::shared_ptr<rpc::ByteStream> stream;
   http::ResponseReader reader;
-  std::optional<EngineCall> call;  // that waits for its response
+  std::optional<EngineCall> pending_call;  // sent, without a complete response
   TimeUs call_deadline = 0;
-  TimeUs available_at = 0;  // takes no call before
+  TimeUs available_at = 0;  // no call is sent before this time
   TimeUs idle_since = 0;
   bool closed = false;
 };
@@ -53,24 +54,24 @@
   EngineId id = 0;
   std::string address;
   EndpointState endpoint_state = EndpointState::kRemoved;
-  bool listed = false;
-  size_t attempts = 0;
+  bool is_listed = false;
+  size_t attempt_count = 0;
   CallQueue calls;
   std::list<ConnectionPtr> connections;
-  size_t dialing = 0;
-  TimeUs backoff_us = 0;        // after the last dial, if it failed
-  bool was_reset = false;       // a connection was reset, and nothing has come since
-  TimeUs next_dispatch_at = 0;  // 0: none is scheduled
+  size_t dials_in_progress = 0;
+  TimeUs dial_backoff_us = 0;             // delay after the last dial if it failed, otherwise 0
+  bool reset_since_last_success = false;  // since the last successful dial or the last response
+  TimeUs next_dispatch_at = 0;            // 0: none is scheduled
 
   bool is_unused() const {
-    return !listed && attempts == 0 && connections.empty() && dialing == 0 && calls.empty();
+    return !is_listed && attempt_count == 0 && connections.empty() && dials_in_progress == 0 && calls.empty();
   }
 };
 
 struct ConnectionPool::Availability {
-  ConnectionPtr connection;      // the one that has been idle longest; empty: none is available now
-  size_t expected = 0;           // connections that become available without a response or a further dial
-  TimeUs next_available_at = 0;  // when the first idle one does; 0: there is none
+  ConnectionPtr connection;         // longest idle one; null: none is available now
+  size_t expected_connections = 0;  // dials in progress and connections in their reuse delay
+  TimeUs next_available_at = 0;     // earliest end of a reuse delay; 0: none
 };
 
 ConnectionPool::ConnectionPool(ConnectionPoolOptions options, rpc::Dialer& dialer, Clock& clock,
@@ -105,26 +106,28 @@
 
 void ConnectionPool::on_endpoints_changed() {
   for (const auto& [id, engine] : engines_) {
-    engine->listed = false;
+    engine->is_listed = false;
     engine->endpoint_state = EndpointState::kRemoved;
   }
   for (const Endpoint& endpoint : registry_.endpoints()) {
     const EngineStatePtr engine = state_of(endpoint.engine);
-    engine->listed = true;
+    engine->is_listed = true;
     engine->endpoint_state = endpoint.state;
   }
-  listed_engines_ = registry_.endpoints().size();
+  listed_engine_count_ = registry_.endpoints().size();
   for (const auto& [id, engine] : engines_) {
-    if (!engine->listed) close_idle_connections(id);
+    if (!engine->is_listed) close_idle_connections(id);
     dispatch(engine);
   }
 }
 
-void ConnectionPool::add_attempt(const EngineAttempt& attempt) { ++state_of(attempt.engine())->attempts; }
+void ConnectionPool::add_attempt(const EngineAttempt& attempt) {
+  ++state_of(attempt.engine())->attempt_count;
+}
 
 void ConnectionPool::remove_attempt(const std::shared_ptr<EngineAttempt>& attempt) {
   const EngineStatePtr engine = state_of(attempt->engine());
-  --engine->attempts;
+  --engine->attempt_count;
   engine->calls.remove_attempt(attempt);
 }
 
@@ -144,7 +147,7 @@
 
 void ConnectionPool::schedule_dispatch(const EngineStatePtr& engine, TimeUs delay) {
   const TimeUs at = clock_.now() + delay;
-  // An earlier dispatch schedules the next one itself if calls are left.
+  // An earlier dispatch schedules the next one if calls remain in the queue.
   if (engine->next_dispatch_at != 0 && engine->next_dispatch_at <= at) return;
   engine->next_dispatch_at = at;
   clock_.call_after(delay, [self = weak_factory_.get_weak_ptr(), engine, at] {
@@ -154,7 +157,7 @@
 }
 
 void ConnectionPool::dispatch(const EngineStatePtr& engine) {
-  // An engine that is leaving starts nothing that was decided on before.
+  // Starts that were queued before the engine ceased to be ready must not be sent.
   while (engine->endpoint_state != EndpointState::kReady && engine->calls.has(CallType::kStart)) {
     fail_calls(*engine, CallType::kStart, CallFailure::kNotSent);
   }
@@ -162,20 +165,21 @@
   while (!engine->calls.empty()) {
     const Availability available = check_availability(*engine, now);
     if (available.connection && available.connection->stream->readable()) {
-      // Its end, or bytes that nobody asked for: the connection's reader will close it.
-      available.connection->available_at = now + kSettleUs;
+      // Readable without a pending call: the engine has closed the connection or sent unexpected bytes.
+      // run_connection() reads them and closes the connection.
+      available.connection->available_at = now + kReuseDelayUs;
       continue;
     }
     if (available.connection) {
-      send_next(*engine, available.connection);
+      send_next_call(*engine, available.connection);
       continue;
     }
     if (available.next_available_at > 0) schedule_dispatch(engine, available.next_available_at - now);
-    if (available.expected >= engine->calls.size()) return;
-    const size_t max_connections = options_.budget.per_engine(listed_engines_);
-    if (engine->connections.size() + engine->dialing >= max_connections) return;
-    if (connections_ >= options_.budget.engines && !close_longest_idle_connection()) {
-      schedule_dispatch(engine, kBudgetRetryUs);
+    if (available.expected_connections >= engine->calls.size()) return;
+    const size_t max_connections = options_.budget.per_engine(listed_engine_count_);
+    if (engine->connections.size() + engine->dials_in_progress >= max_connections) return;
+    if (connection_count_ >= options_.budget.engines && !close_longest_idle_connection()) {
+      schedule_dispatch(engine, kBudgetRetryDelayUs);
       return;
     }
     dial(engine);
@@ -184,11 +188,11 @@
 
 ConnectionPool::Availability ConnectionPool::check_availability(const EngineState& engine, TimeUs now) {
   Availability available;
-  available.expected = engine.dialing;
+  available.expected_connections = engine.dials_in_progress;
   for (const ConnectionPtr& connection : engine.connections) {
-    if (connection->call) continue;
+    if (connection->pending_call) continue;
     if (connection->available_at > now) {
-      ++available.expected;
+      ++available.expected_connections;
       const TimeUs at = connection->available_at;
       if (available.next_available_at == 0 || at < available.next_available_at) {
         available.next_available_at = at;
@@ -202,30 +206,30 @@
   return available;
 }
 
-void ConnectionPool::send_next(EngineState& engine, const ConnectionPtr& connection) {
+void ConnectionPool::send_next_call(EngineState& engine, const ConnectionPtr& connection) {
   EngineCall call = engine.calls.pop();
   const std::optional<http::Request> request = delegate_.prepare_call(call);
   if (!request) return;
   ++counters_.calls_sent;
   std::string bytes =
       http::write_request(request->method, request->target, engine.address, request->fields, request->body);
-  const TimeUs hold_us = is_long_poll(call.type) ? kLongPollUs : 0;
-  connection->call_deadline = clock_.now() + kCallTimeoutUs + hold_us;
-  connection->call = std::move(call);
+  const TimeUs long_poll_us = is_long_poll(call.type) ? kLongPollTimeoutUs : 0;
+  connection->call_deadline = clock_.now() + kCallTimeoutUs + long_poll_us;
+  connection->pending_call = std::move(call);
   boost::asio::co_spawn(dialer_.executor(), write(connection, std::move(bytes)), boost::asio::detached);
 }
 
 rpc::Awaitable<void> ConnectionPool::write(ConnectionPtr connection, std::string bytes) {
-  // Not awaited within a condition: GCC 12 destroys such a coroutine frame wrongly.
+  // Not awaited within the condition: GCC 12 destroys the coroutine frame incorrectly then.
   const bool written = co_await rpc::write_all(*connection->stream, std::move(bytes));
-  if (!written) connection->stream->close();  // run_connection() then reads the end
+  if (!written) connection->stream->close();  // run_connection() then reads the end of the stream
 }
 
 // ---- Connections
 
 void ConnectionPool::dial(const EngineStatePtr& engine) {
-  ++engine->dialing;
-  ++connections_;
+  ++engine->dials_in_progress;
+  ++connection_count_;
   ++counters_.dials;
   boost::asio::co_spawn(dialer_.executor(), run_connection(engine), boost::asio::detached);
 }
@@ -235,14 +239,14 @@
   const rpc::ConnectResult connected = co_await dialer_.connect(engine->address, options_.dial_timeout_us);
   const std::shared_ptr<rpc::ByteStream>& stream = connected.stream;
   if (!self) co_return;
-  --engine->dialing;
+  --engine->dials_in_progress;
   if (!stream) {
-    --connections_;
+    --connection_count_;
     on_dial_failed(engine, connected.status);
     co_return;
   }
-  engine->backoff_us = 0;
-  engine->was_reset = false;
+  engine->dial_backoff_us = 0;
+  engine->reset_since_last_success = false;
   const auto connection = std::make_shared<Connection>(stream, clock_.now());
   engine->connections.push_back(connection);
   dispatch(engine);
@@ -256,9 +260,9 @@
 
 void ConnectionPool::on_dial_failed(const EngineStatePtr& engine, rpc::ConnectStatus status) {
   const bool refused = status == rpc::ConnectStatus::kRefused;
-  // An engine at its limit of connections refuses further ones and goes on with what it runs. It is down if
-  // its connections were reset and none is open.
-  const bool is_down = refused && engine->connections.empty() && engine->was_reset;
+  // An engine at its connection limit also refuses dials, while its attempts continue. A refused dial means
+  // that the engine is down only if a connection was reset before and none is open.
+  const bool is_down = refused && engine->connections.empty() && engine->reset_since_last_success;
   ++(refused ? counters_.dials_refused : counters_.dials_failed);
   if (refused || engine->connections.empty()) {
     fail_calls(*engine, CallType::kStart, CallFailure::kNotSent);
@@ -268,14 +272,14 @@
     fail_calls(*engine, CallType::kPoll, CallFailure::kEngineDown);
     fail_calls(*engine, CallType::kCancel, CallFailure::kEngineDown);
   }
-  engine->backoff_us = std::clamp(2 * engine->backoff_us, kMinBackoffUs, kMaxBackoffUs);
-  if (!engine->calls.empty()) schedule_dispatch(engine, engine->backoff_us);
+  engine->dial_backoff_us = std::clamp(2 * engine->dial_backoff_us, kMinDialBackoffUs, kMaxDialBackoffUs);
+  if (!engine->calls.empty()) schedule_dispatch(engine, engine->dial_backoff_us);
 }
 
 void ConnectionPool::on_bytes(const EngineStatePtr& engine, const ConnectionPtr& connection,
                               const std::optional<std::string>& bytes) {
-  if (!bytes) engine->was_reset = true;
-  if (!bytes || !connection->call) {
+  if (!bytes) engine->reset_since_last_success = true;
+  if (!bytes || !connection->pending_call) {
     on_connection_lost(engine, connection);
     return;
   }
@@ -296,18 +300,18 @@
                                           bool reusable) {
   const WeakPtr<ConnectionPool> self = weak_factory_.get_weak_ptr();
   const http::Response response = connection->reader.take();
-  engine->was_reset = false;
-  EngineCall call = std::move(*connection->call);
-  connection->call.reset();
+  engine->reset_since_last_success = false;
+  EngineCall call = std::move(*connection->pending_call);
+  connection->pending_call.reset();
   connection->idle_since = clock_.now();
-  connection->available_at = connection->idle_since + kSettleUs;
+  connection->available_at = connection->idle_since + kReuseDelayUs;
   if (!reusable) close(*engine, connection);
   delegate_.on_response(std::move(call), response);
   if (self) dispatch(engine);
 }
 
 void ConnectionPool::on_connection_lost(const EngineStatePtr& engine, const ConnectionPtr& connection) {
-  std::optional<EngineCall> call = std::exchange(connection->call, std::nullopt);
+  std::optional<EngineCall> call = std::exchange(connection->pending_call, std::nullopt);
   close(*engine, connection);
   if (call) {
     ++counters_.calls_interrupted;
@@ -317,14 +321,14 @@
 }
 
 void ConnectionPool::fail_calls(EngineState& engine, CallType type, CallFailure failure) {
-  for (EngineCall& call : engine.calls.take_all(type)) delegate_.on_call_failed(std::move(call), failure);
+  for (EngineCall& call : engine.calls.pop_all(type)) delegate_.on_call_failed(std::move(call), failure);
 }
 
 void ConnectionPool::close(EngineState& engine, const ConnectionPtr& connection) {
   if (connection->closed) return;
   connection->closed = true;
   engine.connections.remove(connection);
-  --connections_;
+  --connection_count_;
   connection->stream->close();
 }
 
@@ -333,17 +337,17 @@
   if (it == engines_.end()) return;
   const EngineStatePtr state = it->second;
   for (const ConnectionPtr& connection : std::list<ConnectionPtr>(state->connections)) {
-    if (!connection->call) close(*state, connection);
+    if (!connection->pending_call) close(*state, connection);
   }
 }
 
-// False: every connection of every engine has a call.
+// Returns false if all connections have pending calls.
 bool ConnectionPool::close_longest_idle_connection() {
   EngineStatePtr longest_idle_engine;
   ConnectionPtr longest_idle;
   for (const auto& [id, engine] : engines_) {
     for (const ConnectionPtr& connection : engine->connections) {
-      if (connection->call) continue;
+      if (connection->pending_call) continue;
       if (longest_idle && connection->idle_since >= longest_idle->idle_since) continue;
       longest_idle = connection;
       longest_idle_engine = engine;
@@ -369,16 +373,16 @@
 
 void ConnectionPool::expire_connections(const EngineStatePtr& engine, TimeUs now, bool was_stalled) {
   const TimeUs max_idle_us = options_.engine_idle_timeout_us * 3 / 5;
-  std::vector<ConnectionPtr> expired;
+  std::vector<ConnectionPtr> expired_connections;
   for (const ConnectionPtr& connection : engine->connections) {
-    // After a stall of this process responses may be waiting to be read: they are read first.
-    const bool is_expired = connection->call ? !was_stalled && now >= connection->call_deadline
-                                             : now - connection->idle_since > max_idle_us;
-    if (is_expired) expired.push_back(connection);
+    // After a stall of this process, unread responses may be waiting: they are read before calls time out.
+    const bool is_expired = connection->pending_call ? !was_stalled && now >= connection->call_deadline
+                                                     : now - connection->idle_since > max_idle_us;
+    if (is_expired) expired_connections.push_back(connection);
   }
-  for (const ConnectionPtr& connection : expired) {
+  for (const ConnectionPtr& connection : expired_connections) {
     if (connection->closed) continue;
-    if (!connection->call) {
+    if (!connection->pending_call) {
       close(*engine, connection);
       continue;
     }
--- a/src/platform/engine_client/connection_pool.h
+++ b/src/platform/engine_client/connection_pool.h
@@ -1,4 +1,4 @@
-// Connections to the platform's engines: dials, backoff, idle connections, timeouts of calls.
+// Connection pool for the platform's engines: dialing with backoff, reuse, idle and call timeouts.
 #pragma once
 
 #include <cstddef>
@@ -19,67 +19,67 @@
 
 namespace sablelink::platform {
 
-/// Why a call has no response.
+/// Reason why a call ended without a response.
 enum class CallFailure {
-  kNotSent,      // it never left, as the engine takes no new attempts or refused the connection
-  kInterrupted,  // its connection was lost: the engine may or may not have executed it
-  kEngineDown,   // the engine has ended, and with it all that it ran
+  kNotSent,      // the engine is not ready for new attempts or cannot be connected to
+  kInterrupted,  // the connection was lost: whether the engine executed the call is unknown
+  kEngineDown,   // the engine process has ended, and all its attempts with it
 };
 
 struct ConnectionPoolOptions {
   DescriptorBudget budget;
   TimeUs dial_timeout_us = 0;
-  /// After which engines close idle connections. The pool closes them well before.
+  /// Engines close connections that are idle for this long. The pool closes them after 60% of it.
   TimeUs engine_idle_timeout_us = 0;
 };
 
-/// A few connections to each engine, with one call at a time on each. Calls that find no connection wait in
-/// the engine's queue. On the dialer's strand alone.
+/// Maintains a limited number of connections to each engine, with one pending call per connection. Calls wait
+/// in the engine's queue until a connection is available. Used only on the dialer's strand.
 class ConnectionPool {
  public:
-  /// Must outlive the pool.
+  /// Creates the requests of calls and receives the results. Must outlive the pool.
   class Delegate {
    public:
     virtual ~Delegate() = default;
-    /// Called right before a call is sent; returns its request. Nothing: the call is not wanted any more.
+    /// Called immediately before a call is sent. Returns its request, or nothing if it must not be sent.
     virtual std::optional<http::Request> prepare_call(const EngineCall& call) = 0;
-    /// Queued calls of the engine are sent after this, without schedule_dispatch().
+    /// Called with a complete response. The engine's queued calls are then sent without schedule_dispatch().
     virtual void on_response(EngineCall call, const http::Response& response) = 0;
-    /// As on_response(), for a call that ended without a response.
+    /// Like on_response(), for a call that ended without a response.
     virtual void on_call_failed(EngineCall call, CallFailure failure) = 0;
   };
 
-  /// How often expire() has to be called.
+  /// Interval at which expire() must be called.
   static constexpr TimeUs kExpiryIntervalUs = 25'000;
 
   ConnectionPool(ConnectionPoolOptions options, rpc::Dialer& dialer, Clock& clock,
                  const membership::EndpointRegistry& registry, Delegate& delegate,
                  EngineClientCounters& counters);
-  /// Closes all connections. The delegate hears nothing of it.
+  /// Closes all connections without calling the delegate.
   ~ConnectionPool();
 
-  /// Adopts the registry's endpoints. Starts that wait for an engine that is no longer ready fail.
+  /// Updates the endpoints from the registry. Queued starts for an engine that is not ready fail.
   void on_endpoints_changed();
 
-  /// Keeps what is known of the attempt's engine until the attempt is removed.
+  /// Keeps the state of the attempt's engine until the attempt is removed.
   void add_attempt(const EngineAttempt& attempt);
-  /// Removes the attempt and its queued calls, except for its cancellation.
+  /// Removes the attempt and its queued calls except its cancellation.
   void remove_attempt(const std::shared_ptr<EngineAttempt>& attempt);
 
-  /// Queues a call behind those of its type. Nothing is sent from within this.
+  /// Queues a call after the other calls of its type, without sending it.
   void enqueue(EngineCall call);
-  /// As enqueue(), before those of its type.
+  /// Like enqueue(), but before the other calls of its type.
   void enqueue_first(EngineCall call);
-  /// Sends the engine's queued calls soon, but not from within this.
+  /// Schedules the sending of the engine's queued calls; does not send them within this function.
   void schedule_dispatch(EngineId engine);
 
-  /// Ends calls without a response in time and connections that were idle for too long.
+  /// Fails calls that have timed out and closes connections that have been idle for too long.
   void expire();
-  /// Closes the engine's connections without a call.
+  /// Closes the engine's connections that have no pending call.
   void close_idle_connections(EngineId engine);
 
-  /// Open connections and dials in progress.
-  size_t connections() const { return connections_; }
+  /// Number of open connections and dials in progress.
+  size_t connection_count() const { return connection_count_; }
 
  private:
   struct Connection;
@@ -92,7 +92,7 @@
   void schedule_dispatch(const EngineStatePtr& engine, TimeUs delay);
   void dispatch(const EngineStatePtr& engine);
   static Availability check_availability(const EngineState& engine, TimeUs now);
-  void send_next(EngineState& engine, const ConnectionPtr& connection);
+  void send_next_call(EngineState& engine, const ConnectionPtr& connection);
   rpc::Awaitable<void> write(ConnectionPtr connection, std::string bytes);
 
   void dial(const EngineStatePtr& engine);
@@ -115,8 +115,8 @@
   Delegate& delegate_;
   EngineClientCounters& counters_;
   std::map<EngineId, EngineStatePtr> engines_;
-  size_t connections_ = 0;
-  size_t listed_engines_ = 0;
+  size_t connection_count_ = 0;
+  size_t listed_engine_count_ = 0;
   TimeUs last_expiry_at_ = 0;
   WeakPtrFactory<ConnectionPool> weak_factory_{this};
 };
--- a/src/platform/engine_client/engine_attempt.cpp
+++ b/src/platform/engine_client/engine_attempt.cpp
@@ -5,9 +5,9 @@
 namespace sablelink::platform {
 namespace {
 
-constexpr int kMaxConsecutiveFailures = 6;
+constexpr int kMaxConsecutiveCallFailures = 6;
 constexpr TimeUs kAbandonMarginUs = 150'000;
-constexpr TimeUs kCancelDelayUs = 30'000;
+constexpr TimeUs kMinStartToCancelUs = 30'000;
 
 }  // namespace
 
@@ -21,8 +21,8 @@
 }
 
 bool EngineAttempt::on_call_failed() {
-  ++consecutive_failures_;
-  return consecutive_failures_ <= kMaxConsecutiveFailures;
+  ++consecutive_call_failures_;
+  return consecutive_call_failures_ <= kMaxConsecutiveCallFailures;
 }
 
 AttemptStep EngineAttempt::on_poll_response(PollResponse response) {
@@ -31,26 +31,26 @@
     case PollResponse::Status::kMalformed:
       return {AttemptStep::Type::kMalformedResponse};
     case PollResponse::Status::kRunning:
-      consecutive_failures_ = 0;
+      consecutive_call_failures_ = 0;
       start_unconfirmed_ = false;
       return {AttemptStep::Type::kPoll};
     case PollResponse::Status::kOverloaded:
       return {AttemptStep::Type::kComplete, Outcome::kOverloaded};
     case PollResponse::Status::kFailed:
-      // After an unconfirmed start this only says that the engine doesn't know the attempt, not whether it
-      // executed. The engine itself is responsive.
+      // After an unconfirmed start, this status may only mean that the engine does not know the attempt;
+      // whether the statement was executed is unknown. The engine itself is responsive.
       result_.engine_responsive = start_unconfirmed_;
       return {AttemptStep::Type::kComplete, start_unconfirmed_ ? Outcome::kReset : Outcome::kError};
     case PollResponse::Status::kComplete:
       break;
   }
-  consecutive_failures_ = 0;
+  consecutive_call_failures_ = 0;
   if (response.work_us) result_.work_us = response.work_us;
   if (response.memory_used_mb) result_.memory_used_mb = response.memory_used_mb;
-  pages_.assign(response.page_count, std::nullopt);
-  pages_[0] = std::move(response.first_page_rows);
-  missing_pages_ = pages_.size() - 1;
-  if (missing_pages_ == 0) return {AttemptStep::Type::kComplete, Outcome::kOk};
+  page_rows_.assign(response.page_count, std::nullopt);
+  page_rows_[0] = std::move(response.first_page_rows);
+  missing_page_count_ = page_rows_.size() - 1;
+  if (missing_page_count_ == 0) return {AttemptStep::Type::kComplete, Outcome::kOk};
   return {AttemptStep::Type::kFetchPages};
 }
 
@@ -59,18 +59,18 @@
     return {AttemptStep::Type::kComplete, Outcome::kError};
   }
   if (response.status == PageResponse::Status::kMalformed) return {AttemptStep::Type::kMalformedResponse};
-  consecutive_failures_ = 0;
-  std::optional<std::string>& rows = pages_[page];
+  consecutive_call_failures_ = 0;
+  std::optional<std::string>& rows = page_rows_[page];
   if (rows) return {AttemptStep::Type::kAwaitPages};
   rows = std::move(response.rows);
-  --missing_pages_;
-  if (missing_pages_ > 0) return {AttemptStep::Type::kAwaitPages};
+  --missing_page_count_;
+  if (missing_page_count_ > 0) return {AttemptStep::Type::kAwaitPages};
   return {AttemptStep::Type::kComplete, Outcome::kOk};
 }
 
 std::string EngineAttempt::joined_rows() const {
   std::string joined;
-  for (const std::optional<std::string>& rows : pages_) {
+  for (const std::optional<std::string>& rows : page_rows_) {
     if (rows->empty()) continue;
     if (!joined.empty()) joined += ',';
     joined += *rows;
@@ -89,10 +89,10 @@
 }
 
 TimeUs EngineAttempt::abandoned_at() const {
-  // The engine counts from the end of the last call, which it may have held.
-  return last_call_at_ + kLongPollUs + kAbandonedAfterUs + kAbandonMarginUs;
+  // The engine's timeout starts at the end of the last call, which may be a long poll.
+  return last_call_at_ + kLongPollTimeoutUs + kAbandonTimeoutUs + kAbandonMarginUs;
 }
 
-TimeUs EngineAttempt::earliest_cancel_at() const { return start_sent_at_ + kCancelDelayUs; }
+TimeUs EngineAttempt::earliest_cancel_at() const { return start_sent_at_ + kMinStartToCancelUs; }
 
 }  // namespace sablelink::platform
--- a/src/platform/engine_client/engine_attempt.h
+++ b/src/platform/engine_client/engine_attempt.h
@@ -1,4 +1,4 @@
-// State machine of one attempt at an engine of the platform: start, polls, pages, end.
+// State machine of one attempt on an engine of the platform: start, polls, result pages, completion.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,23 @@
 
 namespace sablelink::platform {
 
-/// What an attempt needs after a response of its engine.
+/// Next step of an attempt after a response from its engine.
 struct AttemptStep {
   enum class Type {
-    kMalformedResponse,  // the call must be repeated
+    kMalformedResponse,  // repeat the call
     kPoll,               // the attempt is running: poll again
-    kFetchPages,         // pages 1 to page_count() - 1 are to be fetched
-    kAwaitPages,         // other pages are still being fetched
-    kComplete,           // the attempt has ended with `outcome`
+    kFetchPages,         // fetch the pages 1 to page_count() - 1
+    kAwaitPages,         // wait for the other pages, which are being fetched
+    kComplete,           // the attempt is complete, with `outcome`
   };
   Type type = Type::kMalformedResponse;
   Outcome outcome = Outcome::kOk;
 };
 
-/// State of one attempt. Pure: the owner sends the calls and reports what became of them.
+/// State of one attempt. Pure: the owner sends the calls and reports their results.
 ///
-/// An attempt isn't bound to a connection: a call that was interrupted is repeated on another one, and only
-/// the engine's response, or the engine's end, completes the attempt.
+/// An attempt is not tied to a connection: an interrupted call is repeated on another connection, and the
+/// loss of a connection alone does not complete the attempt.
 class EngineAttempt {
  public:
   EngineAttempt(dispatch::AttemptId id, EngineId engine, dispatch::AttemptSpec spec, TimeUs now);
@@ -36,42 +36,42 @@
   const dispatch::AttemptId& id() const { return id_; }
   EngineId engine() const { return engine_; }
   const dispatch::AttemptSpec& spec() const { return spec_; }
-  /// The client's own id of the request, by which engines know its attempts.
+  /// The client's id of the request, which identifies the request's attempts to engines.
   const std::string& client_tag() const { return spec_.statement->client_tag; }
-  /// What is left at `now` of the time that the attempt was given; may be negative.
+  /// The part of the attempt's timeout that remains at `now`; may be negative.
   TimeUs remaining_us(TimeUs now) const { return spec_.remaining_us - (now - created_at_); }
-  /// Whether the decision to start the attempt still holds.
+  /// Whether the decision to start the attempt is still valid.
   bool still_valid() const { return !spec_.still_valid || spec_.still_valid(); }
 
   void on_start_sent(TimeUs now);
-  /// A poll or the request for a page was sent.
+  /// A poll or a request for a page was sent.
   void on_fetch_sent(TimeUs now) { last_call_at_ = now; }
-  /// The start's call has ended, with a response or without.
+  /// The call that starts the attempt has ended, with or without a response.
   void on_start_call_ended() { start_in_flight_ = false; }
-  /// The start's call ended without a valid response: the engine may or may not have read it.
+  /// The call that starts the attempt ended without a valid response: the engine may have received it or not.
   void on_start_unconfirmed() { start_unconfirmed_ = true; }
-  /// Counts a call without a valid response. False: too many have failed in a row.
+  /// Counts a call without a valid response. Returns false after too many consecutive ones.
   bool on_call_failed();
 
   AttemptStep on_poll_response(PollResponse response);
   AttemptStep on_page_response(int page, PageResponse response);
-  int page_count() const { return static_cast<int>(pages_.size()); }
-  /// The rows of all pages as JSON, once complete with Outcome::kOk.
+  int page_count() const { return static_cast<int>(page_rows_.size()); }
+  /// The rows of all pages as JSON. Requires completion with Outcome::kOk.
   std::string joined_rows() const;
 
-  /// Marks the attempt as finished: its owner ignores later responses.
+  /// Marks the attempt as finished; the owner ignores later responses.
   void finish() { finished_ = true; }
   bool is_finished() const { return finished_; }
-  /// What is reported of an attempt that ends with the outcome.
+  /// The result to report for an attempt that ends with `outcome`.
   dispatch::AttemptResult result(Outcome outcome) const;
 
-  /// A call has been sent, so the engine may know the attempt.
+  /// Whether a call has been sent, so that the engine may know the attempt.
   bool was_sent() const { return last_call_at_ > 0; }
-  /// The start was sent and has neither been answered nor failed.
+  /// Whether the start has been sent and its call has neither a response nor failed.
   bool is_start_in_flight() const { return start_in_flight_; }
-  /// By then the engine has ended the attempt by itself, unless a further call is sent.
+  /// Time by which the engine has abandoned the attempt unless it receives another call.
   TimeUs abandoned_at() const;
-  /// A cancellation is sent no sooner, so that it cannot overtake the start on another connection.
+  /// Earliest time to send a cancellation, so that it cannot overtake the start on another connection.
   TimeUs earliest_cancel_at() const;
 
  private:
@@ -80,14 +80,14 @@
   const dispatch::AttemptSpec spec_;
   const TimeUs created_at_;
   TimeUs start_sent_at_ = 0;
-  TimeUs last_call_at_ = 0;  // when the last start, poll or fetch was sent; 0: none was
+  TimeUs last_call_at_ = 0;  // when the last start, poll or page request was sent; 0: none
   bool start_in_flight_ = false;
   bool start_unconfirmed_ = false;
   bool finished_ = false;
-  int consecutive_failures_ = 0;  // calls
+  int consecutive_call_failures_ = 0;
   dispatch::AttemptResult result_;
-  std::vector<std::optional<std::string>> pages_;  // rows by page
-  size_t missing_pages_ = 0;
+  std::vector<std::optional<std::string>> page_rows_;  // by page; empty until received
+  size_t missing_page_count_ = 0;
 };
 
 }  // namespace sablelink::platform
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -34,7 +34,7 @@
   const auto attempt = std::make_shared<EngineAttempt>(id, engine, spec, clock_.now());
   attempts_[{id.request, id.number}] = attempt;
   pool_.add_attempt(*attempt);
-  if (!options_.hedging_allowed && orphans_.delay(attempt)) {
+  if (!options_.hedging_allowed && orphans_.delay_if_needed(attempt)) {
     ++counters_.attempts_delayed;
     return;
   }
@@ -45,7 +45,7 @@
   const auto it = attempts_.find({id.request, id.number});
   if (it == attempts_.end()) return;
   const AttemptPtr attempt = it->second;
-  forget(attempt);
+  remove_attempt(attempt);
   if (attempt->was_sent()) orphan(attempt);
 }
 
@@ -57,12 +57,12 @@
 
 void EngineClient::complete(const AttemptPtr& attempt, Outcome outcome) {
   if (attempt->is_finished()) return;
-  forget(attempt);
+  remove_attempt(attempt);
   dispatcher_->on_attempt_completed(attempt->id(), attempt->result(outcome));
 }
 
-// Afterwards nothing of the attempt is reported to the dispatcher.
-void EngineClient::forget(const AttemptPtr& attempt) {
+// Removes the attempt, which is not reported to the dispatcher afterwards.
+void EngineClient::remove_attempt(const AttemptPtr& attempt) {
   attempt->finish();
   attempts_.erase({attempt->id().request, attempt->id().number});
   pool_.remove_attempt(attempt);
@@ -82,7 +82,8 @@
 }
 
 void EngineClient::on_orphan_ended(const AttemptPtr& attempt) {
-  for (const AttemptPtr& released : orphans_.on_confirmed(attempt)) schedule_call(CallType::kStart, released);
+  for (const AttemptPtr& released : orphans_.on_attempt_ended(attempt))
+    schedule_call(CallType::kStart, released);
 }
 
 // ---- Calls
@@ -120,7 +121,7 @@
   if (call.type == CallType::kStart) attempt->on_start_call_ended();
   if (call.type == CallType::kCancel) {
     const CancelResponse cancelled = parse_cancel_response(response);
-    // An engine doesn't know an attempt whose start it has yet to read.
+    // An engine that has not read an attempt's start yet reports the attempt as unknown too.
     const bool is_ended = cancelled == CancelResponse::kCancelled ||
                           (cancelled == CancelResponse::kUnknownAttempt && !attempt->is_start_in_flight());
     if (is_ended) {
@@ -196,12 +197,12 @@
   const AttemptPtr attempt = call.attempt;
   if (attempt->is_finished()) return;
   if (call.type == CallType::kStart) {
-    // A second start could execute the statement twice: the engine is asked whether it has begun.
+    // A second start could execute the statement twice. A poll returns the state of the first one.
     attempt->on_start_unconfirmed();
     call.type = CallType::kPoll;
   }
   if (!attempt->on_call_failed()) {
-    orphan(attempt);  // first, so that the dispatcher's next attempt is delayed
+    orphan(attempt);  // before complete(), so that the dispatcher's next attempt is delayed
     complete(attempt, Outcome::kReset);
     return;
   }
@@ -209,8 +210,8 @@
 }
 
 void EngineClient::retry_cancel(EngineCall call) {
-  ++call.failures;
-  if (call.failures >= kMaxCancelCalls) return;  // expire() releases the delayed attempts
+  ++call.cancel_failures;
+  if (call.cancel_failures >= kMaxCancelCalls) return;  // expire() releases the delayed attempts
   clock_.call_after(kCancelRetryDelayUs, [self = weak_factory_.get_weak_ptr(), call = std::move(call)] {
     if (!self) return;
     self->pool_.enqueue_first(call);
@@ -223,7 +224,7 @@
 void EngineClient::expire() {
   const TimeUs now = clock_.now();
   pool_.expire();
-  // An attempt whose calls all wait for a connection ends at its engine after a while.
+  // Engines abandon an attempt while its calls wait too long for a connection.
   std::vector<AttemptPtr> abandoned;
   for (const auto& [id, attempt] : attempts_) {
     if (attempt->was_sent() && now > attempt->abandoned_at()) abandoned.push_back(attempt);
--- a/src/platform/engine_client/engine_client.h
+++ b/src/platform/engine_client/engine_client.h
@@ -1,4 +1,4 @@
-// Sends attempts to the platform's engines over HTTP/1.1.
+// Transport of attempts to the platform's engines over HTTP/1.1.
 #pragma once
 
 #include <cstddef>
@@ -27,17 +27,17 @@
 struct EngineClientOptions {
   DescriptorBudget budget;
   TimeUs dial_timeout_us = 250'000;
-  TimeUs engine_idle_timeout_us = 15'000'000;  // after which engines close idle connections
-  bool hedging_allowed = false;                // attempts of one request may overlap
-  std::vector<std::string> class_names;        // the platform's names of the workload classes, by index
+  TimeUs engine_idle_timeout_us = 15'000'000;  // engines close connections that are idle for this long
+  bool hedging_allowed = false;                // whether attempts of one request may overlap
+  std::vector<std::string> class_names;        // the platform's names of the workload classes, by class index
 };
 
-/// Passes the calls of each attempt through the connection pool and reports its progress and its end to the
-/// dispatcher. Unless hedging is allowed, an attempt waits until earlier attempts of its request have ended
-/// at their engines.
+/// Sends the calls of attempts through the connection pool and reports each attempt's progress and completion
+/// to the dispatcher. Unless hedging is allowed, an attempt is delayed until earlier attempts of its request
+/// have ended on their engines.
 ///
-/// On the dialer's strand alone. The dispatcher must outlive every attempt; dialer, clock and registry must
-/// outlive the client. Timers and coroutines may outlive it; they then do nothing.
+/// Used only on the dialer's strand. The dispatcher must outlive all attempts; dialer, clock and registry
+/// must outlive the client. Timers and coroutines may outlive the client and then have no effect.
 class EngineClient : public dispatch::EngineTransport, private ConnectionPool::Delegate {
  public:
   EngineClient(EngineClientOptions options, rpc::Dialer& dialer, Clock& clock,
@@ -46,25 +46,25 @@
   EngineClient(const EngineClient&) = delete;
   EngineClient& operator=(const EngineClient&) = delete;
 
-  /// Must be called before the first attempt.
+  /// Must be called before the first start().
   void set_dispatcher(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
-  /// The registry has changed.
+  /// Must be called after each change of the registry.
   void on_endpoints_changed() { pool_.on_endpoints_changed(); }
 
   void start(dispatch::AttemptId id, EngineId engine, const dispatch::AttemptSpec& spec) override;
   void cancel(dispatch::AttemptId id) override;
-  /// Does nothing: a result is forwarded complete, in one message.
+  /// Has no effect: a result is forwarded complete, in one message.
   void resume(dispatch::AttemptId) override {}
   /// Always reports Outcome::kConnectFailed: the platform's protocol has no health check.
   void check_health(dispatch::HealthCheckId check, EngineId engine) override;
   void close_idle_connections(EngineId engine) override { pool_.close_idle_connections(engine); }
 
   const EngineClientCounters& counters() const { return counters_; }
-  /// Attempts that were started and have neither completed nor been cancelled.
+  /// Number of started attempts that have neither completed nor been cancelled.
   size_t active_attempts() const { return attempts_.size(); }
-  /// Open connections and dials in progress.
-  size_t connections() const { return pool_.connections(); }
+  /// Number of open connections and dials in progress.
+  size_t connection_count() const { return pool_.connection_count(); }
 
  private:
   using AttemptPtr = std::shared_ptr<EngineAttempt>;
@@ -78,7 +78,7 @@
   void retry(EngineCall call);
   void retry_cancel(EngineCall call);
   void complete(const AttemptPtr& attempt, Outcome outcome);
-  void forget(const AttemptPtr& attempt);
+  void remove_attempt(const AttemptPtr& attempt);
   void orphan(const AttemptPtr& attempt);
   void on_orphan_ended(const AttemptPtr& attempt);
   void expire();
@@ -87,7 +87,7 @@
   Clock& clock_;
   dispatch::RequestDispatcher* dispatcher_ = nullptr;
   EngineClientCounters counters_;
-  std::map<std::pair<RequestId, int>, AttemptPtr> attempts_;  // by request and attempt number
+  std::map<std::pair<RequestId, int>, AttemptPtr> attempts_;  // by request id and attempt number
   OrphanedAttempts orphans_;
   ConnectionPool pool_;
   WeakPtrFactory<EngineClient> weak_factory_{this};
--- a/src/platform/engine_client/engine_client_counters.h
+++ b/src/platform/engine_client/engine_client_counters.h
@@ -1,19 +1,20 @@
-// What an engine client has done since it was made.
+// Counters of an engine client.
 #pragma once
 
 #include <cstdint>
 
 namespace sablelink::platform {
 
+/// Totals since the engine client was created.
 struct EngineClientCounters {
   uint64_t dials = 0;
   uint64_t dials_refused = 0;
-  uint64_t dials_failed = 0;         // for any other reason, mostly timeouts
+  uint64_t dials_failed = 0;         // failed for a reason other than refusal, mostly a timeout
   uint64_t calls_sent = 0;           // HTTP requests
-  uint64_t calls_interrupted = 0;    // the connection ended before a complete response
-  uint64_t calls_timed_out = 0;      // also counted as interrupted
-  uint64_t malformed_responses = 0;  // not of the protocol, or not HTTP
-  uint64_t attempts_delayed = 0;     // until an orphaned attempt of the same request had ended
+  uint64_t calls_interrupted = 0;    // the connection was lost before a complete response
+  uint64_t calls_timed_out = 0;      // also included in calls_interrupted
+  uint64_t malformed_responses = 0;  // not valid HTTP, or not valid in the platform's protocol
+  uint64_t attempts_delayed = 0;     // delayed until an orphaned attempt of the same request ended
 };
 
 }  // namespace sablelink::platform
--- a/src/platform/engine_client/engine_protocol.cpp
+++ b/src/platform/engine_client/engine_protocol.cpp
@@ -14,31 +14,32 @@
 constexpr int kMaxPages = 64;
 
 std::optional<AttemptProgress> parse_progress(const http::Response& response) {
-  const std::string_view remark = http::find(response.fields, "x-remark");
-  const std::optional<double> figure = parse_non_negative(http::find(response.fields, "figure"));
-  if (!figure) return std::nullopt;
-  if (remark == "done") return AttemptProgress{ProgressKind::kProgress, *figure};
-  if (remark == "spills") return AttemptProgress{ProgressKind::kSpill, *figure};
-  if (remark == "waits") return AttemptProgress{ProgressKind::kWaiting, *figure};
+  const std::string_view remark = http::field_value(response.fields, "x-remark");
+  const std::optional<double> number = parse_non_negative(http::field_value(response.fields, "figure"));
+  if (!number) return std::nullopt;
+  if (remark == "done") return AttemptProgress{ProgressKind::kProgress, *number};
+  if (remark == "spills") return AttemptProgress{ProgressKind::kSpill, *number};
+  if (remark == "waits") return AttemptProgress{ProgressKind::kWaiting, *number};
   return std::nullopt;
 }
 
-// The figure of a field where it is above 0.
-std::optional<double> parse_positive_figure(const http::Response& response, std::string_view field) {
-  const std::optional<double> figure = parse_non_negative(http::find(response.fields, field));
-  if (!figure || *figure <= 0) return std::nullopt;
-  return figure;
+// Returns the number in a field; empty unless it is greater than 0.
+std::optional<double> parse_positive_number(const http::Response& response, std::string_view field) {
+  const std::optional<double> number = parse_non_negative(http::field_value(response.fields, field));
+  if (!number || *number <= 0) return std::nullopt;
+  return number;
 }
 
 void parse_complete_response(const http::Response& response, PollResponse& out) {
-  const long long page_count = http::parse_decimal(http::find(response.fields, "page-count"), kMaxPages);
+  const long long page_count =
+      http::parse_decimal(http::field_value(response.fields, "page-count"), kMaxPages);
   std::optional<std::string> rows = page_to_json_rows(response.body);
   if (page_count < 1 || !rows) return;
   out.status = PollResponse::Status::kComplete;
   out.page_count = static_cast<int>(page_count);
   out.first_page_rows = std::move(*rows);
-  if (const auto work_ms = parse_positive_figure(response, "work-ms")) out.work_us = *work_ms * kUsPerMs;
-  out.memory_used_mb = parse_positive_figure(response, "peak-mb");
+  if (const auto work_ms = parse_positive_number(response, "work-ms")) out.work_us = *work_ms * kUsPerMs;
+  out.memory_used_mb = parse_positive_number(response, "peak-mb");
 }
 
 }  // namespace
@@ -79,8 +80,8 @@
 
 PollResponse parse_poll_response(const http::Response& response) {
   PollResponse out;
-  out.load_report = parse_load_report(http::find(response.fields, "x-meter"));
-  const bool load_shed = http::find(response.fields, "x-shed") == "1";
+  out.load_report = parse_load_report(http::field_value(response.fields, "x-meter"));
+  const bool load_shed = http::field_value(response.fields, "x-shed") == "1";
   switch (response.status) {
     case 202:
       out.status = PollResponse::Status::kRunning;
@@ -90,7 +91,7 @@
       parse_complete_response(response, out);
       break;
     case 503:
-    case 504:  // with X-Shed the attempt never executed; a time-out would say that it may have
+    case 504:  // with X-Shed the attempt was not executed, unlike an attempt that timed out
       if (load_shed) out.status = PollResponse::Status::kOverloaded;
       break;
     case 500:
@@ -105,7 +106,8 @@
 PageResponse parse_page_response(const http::Response& response, int expected_page) {
   if (response.status == 500) return {PageResponse::Status::kFailed, {}};
   if (response.status != 200) return {};
-  if (http::parse_decimal(http::find(response.fields, "page-no"), kMaxPages) != expected_page) return {};
+  if (http::parse_decimal(http::field_value(response.fields, "page-no"), kMaxPages) != expected_page)
+    return {};
   std::optional<std::string> rows = page_to_json_rows(response.body);
   if (!rows) return {};
   return {PageResponse::Status::kPage, std::move(*rows)};
--- a/src/platform/engine_client/engine_protocol.h
+++ b/src/platform/engine_client/engine_protocol.h
@@ -1,6 +1,6 @@
-// The platform's protocol between a gateway and an engine (HTTP/1.1), as typed messages.
+// Typed messages of the platform's HTTP/1.1 protocol between gateways and engines.
 //
-// The names of paths and fields on the wire stand in engine_protocol.cpp alone. Pure: no I/O and no state.
+// Only engine_protocol.cpp contains the paths and the names of header fields. Pure: no I/O and no state.
 #pragma once
 
 #include <optional>
@@ -14,13 +14,13 @@
 
 namespace sablelink::platform {
 
-/// An engine holds a start or a poll that has no news yet for this long before it answers.
-constexpr TimeUs kLongPollUs = 250'000;
-/// An engine ends an attempt for which no call has come for this long.
-constexpr TimeUs kAbandonedAfterUs = 2'000'000;
+/// Time after which an engine responds to a start or a poll of an attempt whose state has not changed.
+constexpr TimeUs kLongPollTimeoutUs = 250'000;
+/// Time without calls after which an engine abandons an attempt, that is, ends it.
+constexpr TimeUs kAbandonTimeoutUs = 2'000'000;
 
-/// Request that starts an attempt. `remaining_us` is what is left of the request's timeout; it is sent in
-/// whole milliseconds, rounded up and at least 1. `class_name` is the platform's name of the workload class.
+/// Request that starts an attempt. `remaining_us` is the remaining timeout, which is sent in whole
+/// milliseconds, rounded up and at least 1. `class_name` is the platform's name of the workload class.
 http::Request make_start_request(const dispatch::AttemptSpec& spec, const std::string& class_name,
                                  TimeUs remaining_us);
 /// Request for the state of a running attempt (page 0) or for a page of its result.
@@ -28,45 +28,45 @@
 /// Request that cancels an attempt.
 http::Request make_cancel_request(const std::string& client_tag);
 
-/// Progress of a running attempt, as its engine reports it.
+/// Progress of a running attempt as reported by its engine.
 struct AttemptProgress {
   ProgressKind kind = ProgressKind::kProgress;
   double value = 0;
 };
 
-/// An engine's response to a start or to a poll.
+/// An engine's response to a start or a poll.
 struct PollResponse {
   enum class Status {
-    kMalformed,   // not a response of the protocol
+    kMalformed,   // not a valid response of the protocol
     kRunning,     // queued or executing: poll again
-    kComplete,    // the first page and the number of pages
-    kOverloaded,  // never executed: load was shed, or its time was over before it could start
+    kComplete,    // executed; contains the first page and the number of pages
+    kOverloaded,  // not executed: shed by the engine, or timed out before execution
     kFailed,      // the statement failed, or the engine does not know the attempt
   };
   Status status = Status::kMalformed;
-  std::optional<LoadReport> load_report;    // with any status
-  std::optional<AttemptProgress> progress;  // with kRunning
-  int page_count = 0;                       // with kComplete, as are all of the following
+  std::optional<LoadReport> load_report;    // may be set with any status
+  std::optional<AttemptProgress> progress;  // may be set with kRunning
+  int page_count = 0;                       // set with kComplete, like the following members
   std::string first_page_rows;              // JSON rows
   std::optional<double> work_us;
   std::optional<double> memory_used_mb;
 };
 PollResponse parse_poll_response(const http::Response& response);
 
-/// An engine's response to the request for a page.
+/// An engine's response to a request for a page.
 struct PageResponse {
   enum class Status { kMalformed, kPage, kFailed };
   Status status = Status::kMalformed;
-  std::string rows;  // JSON rows, with kPage
+  std::string rows;  // JSON rows; set with kPage
 };
-/// A response with another page than the expected one is malformed.
+/// A response with a page other than `expected_page` is malformed.
 PageResponse parse_page_response(const http::Response& response, int expected_page);
 
 /// An engine's response to a cancellation.
 enum class CancelResponse {
   kMalformed,
   kCancelled,
-  kUnknownAttempt,  // the engine knows no such attempt, or has not yet read its start
+  kUnknownAttempt,  // the engine does not know the attempt or has not read its start yet
 };
 CancelResponse parse_cancel_response(const http::Response& response);
 
--- a/src/platform/engine_client/orphaned_attempts.cpp
+++ b/src/platform/engine_client/orphaned_attempts.cpp
@@ -11,7 +11,7 @@
   group.expires_at = std::max(group.expires_at, attempt->abandoned_at());
 }
 
-bool OrphanedAttempts::delay(const AttemptPtr& attempt) {
+bool OrphanedAttempts::delay_if_needed(const AttemptPtr& attempt) {
   const auto it = groups_.find(attempt->client_tag());
   if (it == groups_.end()) return false;
   it->second.delayed.push_back(attempt);
@@ -23,7 +23,7 @@
   if (it != groups_.end()) std::erase(it->second.delayed, attempt);
 }
 
-std::vector<OrphanedAttempts::AttemptPtr> OrphanedAttempts::on_confirmed(const AttemptPtr& attempt) {
+std::vector<OrphanedAttempts::AttemptPtr> OrphanedAttempts::on_attempt_ended(const AttemptPtr& attempt) {
   const auto it = groups_.find(attempt->client_tag());
   if (it == groups_.end()) return {};
   std::erase(it->second.orphaned, attempt);
--- a/src/platform/engine_client/orphaned_attempts.h
+++ b/src/platform/engine_client/orphaned_attempts.h
@@ -1,4 +1,4 @@
-// Attempts that may still run at an engine though nobody waits for them.
+// Attempts that may still run on an engine although their results are no longer needed.
 #pragma once
 
 #include <map>
@@ -11,30 +11,29 @@
 
 namespace sablelink::platform {
 
-/// Keeps attempts of one request from overlapping: an attempt with the client tag of an orphaned one is
-/// delayed until the engine has confirmed the cancellation, or must have ended the orphaned attempt by
-/// itself.
+/// Prevents attempts of one request from overlapping. An attempt with the client tag of an orphaned attempt
+/// is delayed until the engine has confirmed the orphaned attempt's cancellation or must have abandoned it.
 class OrphanedAttempts {
  public:
   using AttemptPtr = std::shared_ptr<EngineAttempt>;
 
-  /// Adds an attempt that was sent and is no longer waited for.
+  /// Adds an attempt that was sent and whose result is no longer needed.
   void add(const AttemptPtr& attempt);
-  /// Keeps a new attempt back while an orphaned one has its client tag. False: it may start now.
-  bool delay(const AttemptPtr& attempt);
-  /// Forgets a delayed attempt that is no longer wanted.
+  /// Delays a new attempt if an orphaned attempt has its client tag. Returns false if it may start now.
+  bool delay_if_needed(const AttemptPtr& attempt);
+  /// Removes an attempt from the delayed ones, if it is delayed.
   void remove_delayed(const AttemptPtr& attempt);
 
-  /// The engine no longer runs the orphaned attempt. Returns the delayed attempts that may start now.
-  std::vector<AttemptPtr> on_confirmed(const AttemptPtr& attempt);
-  /// Returns the delayed attempts whose orphaned ones must have ended by now.
+  /// Removes an orphaned attempt that its engine no longer runs. Returns the delayed attempts that may start.
+  std::vector<AttemptPtr> on_attempt_ended(const AttemptPtr& attempt);
+  /// Removes orphaned attempts that were abandoned by `now`. Returns the delayed attempts that may start.
   std::vector<AttemptPtr> expire(TimeUs now);
 
  private:
   struct Group {
-    std::vector<AttemptPtr> orphaned;  // without confirmation yet
-    std::vector<AttemptPtr> delayed;   // in the order in which they came
-    TimeUs expires_at = 0;             // by then the engines have ended all orphaned ones
+    std::vector<AttemptPtr> orphaned;  // not confirmed as ended
+    std::vector<AttemptPtr> delayed;   // in order of arrival
+    TimeUs expires_at = 0;             // when the engines have abandoned all of `orphaned`
   };
 
   std::map<std::string, Group> groups_;  // by client tag
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -15,23 +15,23 @@
 namespace sablelink::platform {
 namespace {
 
-constexpr TimeUs kRequestTimeoutUs = 2'500'000;  // from the connection's start or the request's first byte
-constexpr TimeUs kIdleTimeoutUs = 5'000'000;     // clients close idle connections after 4 s; some never do
+constexpr TimeUs kRequestReadTimeoutUs = 2'500'000;  // since the start of the connection or of the request
+constexpr TimeUs kIdleTimeoutUs = 5'000'000;         // most clients close idle connections after 4 s
 constexpr TimeUs kWriteTimeoutUs = 5'000'000;
-constexpr TimeUs kHalfCloseTimeoutUs = 1'000'000;  // for a client that still sends to read its response
-constexpr size_t kMaxIgnoredBytes = 256 << 10;     // after the half-close
+constexpr TimeUs kHalfCloseTimeoutUs = 1'000'000;  // for a client that is still sending to read its response
+constexpr size_t kMaxIgnoredBytes = 256 << 10;     // received after the half-close
 constexpr size_t kReadBytes = 8 << 10;
 constexpr size_t kMaxPipelinedBytes = 16 << 10;
-constexpr TimeUs kNewConnectionGraceUs = 15'000;  // the first bytes take a round trip after the connection
+constexpr TimeUs kNewConnectionGraceUs = 15'000;  // the first bytes arrive one round trip later
 constexpr TimeUs kStalledRequestUs = 1'000'000;   // from the request's first byte
-constexpr TimeUs kResponseDeliveryUs = 100'000;   // by then a client has read its response
+constexpr TimeUs kResponseDeliveryUs = 100'000;   // within which a client reads its response
 
 constexpr char kRejectedBody[] = R"({"failure":"Full"})";
 constexpr char kFailedBody[] = R"({"failure":"Error"})";
 
 http::Fields json_content_type() { return {{"Content-Type", "application/json"}}; }
 
-// Never 0, which is the decision module's "no key".
+// Never 0, which means "no key" in the decision module.
 uint64_t ordering_key_hash(std::string_view key) {
   return std::max<uint64_t>(XXH3_64bits(key.data(), key.size()), 1);
 }
@@ -42,7 +42,7 @@
   return limits;
 }
 
-// Collects the rows of one request's result for its connection, which may be gone by then.
+// Collects the result rows of a request for its connection, which may be destroyed before completion.
 class HttpResponseSink : public dispatch::ResponseSink {
  public:
   explicit HttpResponseSink(std::weak_ptr<HttpConnection> connection) : connection_(std::move(connection)) {}
@@ -122,8 +122,8 @@
   if (stage_ != Stage::kReadingRequest) return;
   switch (parse_status_) {
     case http::ParseStatus::kNeedMore:
-      // All bytes so far belong to one request, whose timeout starts at its last byte.
-      arrival_times_.keep_newest();
+      // All received bytes belong to one request, whose timeout starts at its last byte.
+      arrival_times_.discard_all_but_newest();
       return;
     case http::ParseStatus::kMalformed:
       ++context_.counters.malformed_requests;
@@ -184,24 +184,24 @@
   if (!statement->ordering_key.empty()) query.key = ordering_key_hash(statement->ordering_key);
   query.class_index = client_request.class_index;
   const TimeUs arrived_at =
-      arrival_times_.consume_all_but(reader_.buffered_bytes()).value_or(context_.clock.now());
+      arrival_times_.consume_until_pending(reader_.buffered_bytes()).value_or(context_.clock.now());
   query.deadline = arrived_at + client_request.timeout_us;
   query.table_group = sql::table_group(statement->text);
   query.is_client_retry = client_request.is_retry;
-  open_request_id_ = client_request.id;
-  context_.open_request_ids.insert(open_request_id_);
+  client_request_id_ = client_request.id;
+  context_.open_request_ids.insert(client_request_id_);
   stage_ = Stage::kAwaitingResult;
   const RequestId id =
       context_.dispatcher.submit(query, statement, std::make_shared<HttpResponseSink>(weak_from_this()));
   const bool completed_at_once = stage_ != Stage::kAwaitingResult;
-  if (!completed_at_once) open_request_ = id;
+  if (!completed_at_once) dispatcher_request_id_ = id;
 }
 
 void HttpConnection::on_request_completed(const std::string& json_rows,
                                           const dispatch::FinalResponse& result) {
   if (!server_) return;
-  context_.open_request_ids.erase(open_request_id_);
-  open_request_ = 0;
+  context_.open_request_ids.erase(client_request_id_);
+  dispatcher_request_id_ = 0;
   if (stage_ != Stage::kAwaitingResult) return;
   http::Fields fields = json_content_type();
   switch (result.status) {
@@ -224,10 +224,10 @@
 void HttpConnection::respond(int status, const http::Fields& fields, const std::string& body,
                              bool keep_alive) {
   ++context_.counters.responses;
-  // While draining, requests that have arrived already are still answered before the connection closes.
+  // While draining, a connection closes only after the responses to all requests that have arrived on it.
   if (context_.is_draining && reader_.buffered_bytes() == 0 && !stream_->readable()) keep_alive = false;
   keep_alive = keep_alive && !rejects_requests_;
-  enter(Stage::kWritingResponse);
+  enter_stage(Stage::kWritingResponse);
   boost::asio::co_spawn(
       context_.executor,
       write(shared_from_this(), http::write_response(status, fields, body, keep_alive), keep_alive),
@@ -246,7 +246,7 @@
     self->half_close();
     co_return;
   }
-  self->enter(Stage::kReadingRequest);
+  self->enter_stage(Stage::kReadingRequest);
   self->reading_resumed_.set();
   self->parse_status_ = self->reader_.feed({});
   self->process_next_request();
@@ -254,13 +254,13 @@
 
 // ---- Closing
 
-void HttpConnection::enter(Stage stage) {
+void HttpConnection::enter_stage(Stage stage) {
   stage_ = stage;
   stage_started_at_ = context_.clock.now();
 }
 
 void HttpConnection::half_close() {
-  enter(Stage::kHalfClosed);
+  enter_stage(Stage::kHalfClosed);
   stream_->shutdown_write();
 }
 
@@ -279,9 +279,9 @@
   stage_ = Stage::kClosed;
   reading_resumed_.set();
   stream_->close();
-  const RequestId id = std::exchange(open_request_, 0);
+  const RequestId id = std::exchange(dispatcher_request_id_, 0);
   if (id == 0) return;
-  context_.open_request_ids.erase(open_request_id_);
+  context_.open_request_ids.erase(client_request_id_);
   context_.dispatcher.on_client_disconnected(id);
 }
 
@@ -292,7 +292,7 @@
       enforce_read_timeouts(elapsed_us);
       return;
     case Stage::kAwaitingResult:
-      // While reading is paused, nothing else notices that the client has gone.
+      // While reading is paused, only this check detects that the client has disconnected.
       if (is_reading_paused() && stream_->peer_closed()) close();
       return;
     case Stage::kWritingResponse:
@@ -306,14 +306,14 @@
   }
 }
 
-// Bytes that wait in the kernel may be a request or the rest of one: such a connection stays open.
+// A connection with unread bytes in the kernel stays open: they may be a request or a part of one.
 void HttpConnection::enforce_read_timeouts(TimeUs elapsed_us) {
   const bool is_idle = reader_.is_at_message_start();
   if (is_idle && (request_count_ > 0 || context_.closes_idle_connections)) {
     if (elapsed_us >= idle_timeout_us() && !stream_->readable()) half_close();
     return;
   }
-  if (elapsed_us <= kRequestTimeoutUs || stream_->readable()) return;
+  if (elapsed_us <= kRequestReadTimeoutUs || stream_->readable()) return;
   ++context_.counters.request_timeouts;
   respond_and_close(408, "request not received within 2.5 s");
 }
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -1,4 +1,4 @@
-// One client's connection to the HTTP server.
+// A client's connection to the HTTP server.
 #pragma once
 
 #include <cstdint>
@@ -19,44 +19,44 @@
 
 class HttpServer;
 
-/// How readily a connection is closed in favour of a new one, in ascending order.
+/// Priority with which a connection is closed in favour of a new one, in ascending order.
 enum class EvictionRank {
   kNotEvictable,    // a request is in flight or may be arriving
-  kStalledRequest,  // part of a request, and nothing more for a while
-  kIdle,            // served at least one request
-  kUnused,          // never sent a byte
-  kHalfClosed,      // has been sent its last response
+  kStalledRequest,  // a request has been incomplete for too long
+  kIdle,            // has served at least one request
+  kUnused,          // has received no bytes
+  kHalfClosed,      // has sent its last response
 };
 
-/// Serves one request at a time; requests that arrive meanwhile (pipelining) wait while their timeouts run.
+/// Serves one request at a time. Pipelined requests wait; their timeouts start at their arrival.
 ///
-/// A connection is closed by half-close: bytes that arrive afterwards are read and ignored for a while, since
-/// closing with unread bytes would reset the connection and could destroy the response on its way.
+/// A connection is half-closed first. Bytes that arrive afterwards are read and ignored for a limited time,
+/// because closing a socket with unread bytes resets the connection and may discard a response in transit.
 ///
-/// Owned by its coroutines and by the server's list. Used on the server's strand. Every coroutine checks
-/// after each suspension that the server still exists, and touches nothing of it otherwise.
+/// Owned by its coroutines and by the server's list. Used only on the server's strand. After each suspension,
+/// a coroutine checks that the server still exists before it uses the context.
 class HttpConnection : public std::enable_shared_from_this<HttpConnection> {
  public:
-  /// `context` must exist as long as `server` is not empty.
+  /// `context` must exist while `server` is not null.
   HttpConnection(HttpServerContext& context, WeakPtr<HttpServer> server,
                  std::shared_ptr<rpc::ByteStream> stream);
 
-  /// Reads until the client has gone or the connection is closed.
+  /// Reads until the client disconnects or the connection is closed.
   static rpc::Awaitable<void> run(std::shared_ptr<HttpConnection> self);
 
-  /// Answers each request with 503, since all regular connections are in use.
+  /// Rejects all requests with 503. Used when all regular connections are in use.
   void reject_requests() { rejects_requests_ = true; }
 
-  /// Closes the connection, or answers with an error, where a timeout has expired.
+  /// Closes the connection or sends an error response if a timeout has expired.
   void enforce_timeouts(TimeUs now);
 
-  /// Closes the connection at once. A response sent just now may still arrive.
+  /// Closes the connection immediately. A response that has just been sent can still be delivered.
   void abort();
 
-  /// Wakes the coroutine that has paused reading, so that it learns that the server has gone.
+  /// Resumes the coroutine that has paused reading, so that it detects the destruction of the server.
   void resume_reading() { reading_resumed_.set(); }
 
-  /// Sends the response of the open request. `json_rows` are the rows of its result.
+  /// Sends the response to the open request. `json_rows` are the rows of its result as JSON.
   void on_request_completed(const std::string& json_rows, const dispatch::FinalResponse& result);
 
   EvictionRank eviction_rank(TimeUs now) const;
@@ -79,9 +79,9 @@
   void enforce_read_timeouts(TimeUs elapsed_us);
   void half_close();
   void close();
-  void enter(Stage stage);
+  void enter_stage(Stage stage);
   TimeUs idle_timeout_us() const;
-  // So many bytes of pipelined requests wait that reading pauses until a response has been sent.
+  // Whether too many bytes of pipelined requests are buffered to read more before the next response is sent.
   bool is_reading_paused() const;
 
   HttpServerContext& context_;
@@ -90,15 +90,15 @@
   http::RequestReader reader_;
   http::ParseStatus parse_status_ = http::ParseStatus::kNeedMore;
   Stage stage_ = Stage::kReadingRequest;
-  TimeUs stage_started_at_;  // while reading a request: when its first byte arrived
+  TimeUs stage_started_at_;  // in kReadingRequest: arrival of the request's first byte
   uint64_t request_count_ = 0;
   size_t ignored_bytes_ = 0;  // received after the half-close
   ArrivalTimes arrival_times_;
   AsyncEvent reading_resumed_;
   bool rejects_requests_ = false;
-  bool keep_alive_ = true;  // what the client of the open request asked for
-  std::string open_request_id_;
-  RequestId open_request_ = 0;  // 0: none, or the dispatcher has completed it
+  bool keep_alive_ = true;               // requested by the client with the open request
+  std::string client_request_id_;        // of the open request
+  RequestId dispatcher_request_id_ = 0;  // of the open request; 0: none, or completed by the dispatcher
 };
 
 }  // namespace sablelink::platform
--- a/src/platform/http_server.h
+++ b/src/platform/http_server.h
@@ -1,4 +1,4 @@
-// The HTTP server that faces the platform's clients.
+// HTTP server for the platform's clients.
 #pragma once
 
 #include <memory>
@@ -13,33 +13,32 @@
 
 namespace sablelink::platform {
 
-/// Accepts connections, hands their requests to the dispatcher and closes them on shutdown. Validation is in
-/// client_request.h, the life of one connection in http_connection.h, the limit of connections in
-/// connection_admission.h. Used on the strand of the dialer.
+/// Serves client connections and passes their requests to the dispatcher. Validation is in client_request.h,
+/// the lifecycle of a connection in http_connection.h, the limit of connections in connection_admission.h.
+/// Used only on the dialer's strand.
 ///
-/// Graceful shutdown, whose times are in shutdown_schedule.h:
-///   1. start_draining(): health checks fail, so that clients go elsewhere. Each connection is half-closed
-///   after
-///      its response, unless another request has arrived on it.
-///   2. Once the listener is closed, close_idle_connections(): idle connections are half-closed as well.
-///   3. The owner waits for is_idle(), for a bounded time.
+/// Graceful shutdown, with the times in shutdown_schedule.h:
+///   1. start_draining(): health checks fail, so that clients use other gateways. Each connection is
+///      half-closed after its response unless another request has arrived on it.
+///   2. After the listener is closed, close_idle_connections(): idle connections are half-closed as well.
+///   3. The owner waits for is_idle(), for a limited time.
 class HttpServer {
  public:
-  /// The references must outlive the server. The dialer gives the strand.
+  /// The references must outlive the server. The server runs on the dialer's strand.
   HttpServer(HttpServerOptions options, dispatch::RequestDispatcher& dispatcher, rpc::Dialer& dialer,
              Clock& clock);
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
   ~HttpServer();
 
-  /// Serves one connection until it is closed. May outlive the server, then ends at its next event.
+  /// Serves a connection until it is closed. Ends at its next resumption if the server has been destroyed.
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream);
 
-  /// Health checks fail from now on, and connections are half-closed after their responses.
+  /// From now on, health checks fail and connections are half-closed after their responses.
   void start_draining() { context_.is_draining = true; }
-  /// Half-closes idle connections, now and from now on. Requests that have arrived are still accepted.
+  /// From now on, half-closes idle connections. Requests that have already arrived are still accepted.
   void close_idle_connections();
-  /// True where no connection is open.
+  /// Whether no connection is open.
   bool is_idle() const { return admission_.connections().empty(); }
 
   const HttpServerCounters& counters() const { return context_.counters; }
--- a/src/platform/http_server_options.h
+++ b/src/platform/http_server_options.h
@@ -1,4 +1,4 @@
-// Settings of the HTTP server that faces the platform's clients.
+// Options of the HTTP server for the platform's clients.
 #pragma once
 
 #include <cstddef>
@@ -10,11 +10,11 @@
 namespace sablelink::platform {
 
 struct HttpServerOptions {
-  std::vector<std::string> classes;       // names of service classes, by index
-  std::vector<std::string> tenants;       // names of tenants, by index
-  std::vector<TimeUs> max_timeout_us;     // by class: a request that asks for more is invalid
-  size_t max_connections = 100;           // open at a time; the last tenth is reserved for rejecting requests
-  size_t max_statement_bytes = 64 << 10;  // a longer statement is answered with 413
+  std::vector<std::string> classes;    // names of workload classes, by class index
+  std::vector<std::string> tenants;    // names of tenants, by tenant index
+  std::vector<TimeUs> max_timeout_us;  // by class index; a request may exceed it by 1 s
+  size_t max_connections = 100;        // limit of open connections; one tenth of them only rejects requests
+  size_t max_statement_bytes = 64 << 10;  // longer statements are rejected with 413
 };
 
 }  // namespace sablelink::platform
--- a/src/platform/json_fields.h
+++ b/src/platform/json_fields.h
@@ -1,4 +1,4 @@
-// Typed access to the members of JSON objects. Every function throws ConfigError, which names the key.
+// Typed access to the members of JSON objects. Invalid members throw ConfigError with the key in its message.
 #pragma once
 
 #include <boost/json.hpp>
@@ -8,23 +8,23 @@
 
 namespace sablelink::platform {
 
-/// Parses a document of bounded length and depth.
+/// Parses a document of limited length and depth.
 boost::json::value parse_json(std::string_view text);
 
 std::string string_value(const boost::json::value& value);
-/// The number that `value` holds; empty where it is null, not a number or not finite.
+/// The number in `value`; empty if `value` is null, not a number or not finite.
 std::optional<double> finite_number(const boost::json::value* value);
 
 const boost::json::object& object_member(const boost::json::object& object, const char* key);
 std::string string_member(const boost::json::object& object, const char* key);
 double number_member(const boost::json::object& object, const char* key, double min, double max);
-/// The default where the key is missing; a value that is present must be valid.
+/// Returns the default value if the key is missing. A value that is present must be valid.
 double number_member_or(const boost::json::object& object, const char* key, double min, double max,
                         double default_value);
 
-/// The object at `key`; null where there is none or where it is of another type.
+/// The object at `key`; null if the key is missing or its value is not an object.
 const boost::json::object* optional_object(const boost::json::object& object, const char* key);
-/// The array at `key`; null where there is none or where it is of another type.
+/// The array at `key`; null if the key is missing or its value is not an array.
 const boost::json::array* optional_array(const boost::json::object& object, const char* key);
 
 }  // namespace sablelink::platform
--- a/src/platform/pages.cpp
+++ b/src/platform/pages.cpp
@@ -8,7 +8,7 @@
 namespace sablelink::platform {
 namespace {
 
-// False where the row hasn't the right number of columns; `out` is of no use then.
+// Returns false if the row does not have kColumnCount columns; `out` is then not valid.
 bool append_json_row(std::string_view row, std::string& out) {
   if (std::count(row.begin(), row.end(), '\t') != kColumnCount - 1) return false;
   out += "[\"";
--- a/src/platform/pages.h
+++ b/src/platform/pages.h
@@ -1,4 +1,4 @@
-// Contents of engine responses: pages of rows and load reports. Pure.
+// Parsing of result pages and load reports in engine responses. Pure.
 #pragma once
 
 #include <cstddef>
@@ -14,13 +14,12 @@
 inline constexpr size_t kMaxPageBytes = 6'000;
 inline constexpr int kColumnCount = 3;
 
-/// Converts a page to the rows of a JSON array, without its brackets: ["a","b","c"],["d","e","f"]. A page has
-/// a line for each row, ended by a line feed, and tabs between the columns. Empty where the page is
-/// malformed, as it may have been damaged on its way.
+/// Converts a page to the elements of a JSON array: ["a","b","c"],["d","e","f"]. Each row of a page ends in a
+/// line feed and has tabs between its columns. Empty if the page is malformed, such as by damage in transit.
 std::optional<std::string> page_to_json_rows(std::string_view page);
 
-/// Parses a load report of the form "inflight:7;util:0.61". Values that are malformed or unknown are left
-/// out; empty where none remains.
+/// Parses a load report of the form "inflight:7;util:0.61". Malformed and unknown values are ignored; empty
+/// if none remains.
 std::optional<LoadReport> parse_load_report(std::string_view text);
 
 }  // namespace sablelink::platform
--- a/src/platform/setting_names.cpp
+++ b/src/platform/setting_names.cpp
@@ -13,7 +13,7 @@
 
 constexpr double kIndexEnd = 65536;
 
-// Elements of other types become empty names, so that the others keep their index.
+// Elements of other types become empty names, so that the indices of the others do not change.
 std::vector<std::string> string_array(const json::object& object, const char* key) {
   std::vector<std::string> out;
   const json::array* array = optional_array(object, key);
@@ -45,7 +45,7 @@
   return names;
 }
 
-int index_in(const std::vector<std::string>& names, const json::value* name_or_index) {
+int index_of(const std::vector<std::string>& names, const json::value* name_or_index) {
   if (name_or_index == nullptr) return 0;
   if (name_or_index->is_string()) {
     const auto it = std::find(names.begin(), names.end(), string_value(*name_or_index));
--- a/src/platform/setting_names.h
+++ b/src/platform/setting_names.h
@@ -1,4 +1,4 @@
-// Names that the platform's messages use where the decision module uses an index.
+// Names in the platform's messages for which the decision module uses indices.
 #pragma once
 
 #include <boost/json/fwd.hpp>
@@ -7,7 +7,7 @@
 
 namespace sablelink::platform {
 
-/// Each vector is in the order of the settings, so that a name's position is its index.
+/// Each vector has the order of the settings, so that a name's position is its index.
 struct SettingNames {
   std::vector<std::string> classes;
   std::vector<std::string> zones;
@@ -16,10 +16,10 @@
   std::vector<std::string> tenants;
 };
 
-/// Reads the names from the platform's settings. Throws ConfigError where a class or tenant has no name.
+/// Reads the names from the platform's settings. Throws ConfigError if a class or tenant has no name.
 SettingNames parse_setting_names(const boost::json::object& settings);
 
-/// The index of a name. A number is taken as the index itself. 0 where the value is missing or unknown.
-int index_in(const std::vector<std::string>& names, const boost::json::value* name_or_index);
+/// Converts a name to its index. A number is used as the index. 0 if the value is missing or unknown.
+int index_of(const std::vector<std::string>& names, const boost::json::value* name_or_index);
 
 }  // namespace sablelink::platform
--- a/src/platform/settings_lines.cpp
+++ b/src/platform/settings_lines.cpp
@@ -15,15 +15,15 @@
 
 bool is_scalar(const json::value& value) { return !value.is_object() && !value.is_array(); }
 
-// A string's separators would end the line or the list element that it stands in.
-std::string without_separators(std::string text) {
+// Separators within a string would end its line or list element.
+std::string replace_separators(std::string text) {
   for (char& c : text)
     if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
   return text;
 }
 
 std::string format_scalar(const json::value& value) {
-  if (value.is_string()) return without_separators(string_value(value));
+  if (value.is_string()) return replace_separators(string_value(value));
   if (value.is_null()) return "";
   if (!value.is_double()) return json::serialize(value);
   char digits[64];
@@ -45,7 +45,7 @@
       write(member, member_path(path, key));
     }
   }
-  std::string take() { return std::move(lines_); }
+  std::string release() { return std::move(lines_); }
 
  private:
   void write(const json::value& value, const std::string& path) {
@@ -82,7 +82,7 @@
 std::string to_settings_lines(const json::object& settings) {
   LineWriter writer;
   writer.write_object(settings, "");
-  return writer.take();
+  return writer.release();
 }
 
 }  // namespace sablelink::platform
--- a/src/platform/text_values.cpp
+++ b/src/platform/text_values.cpp
@@ -14,7 +14,7 @@
   return c >= 0x20 && c < 0x7f;
 }
 
-// The length that the first byte of a UTF-8 sequence announces; 0 where none starts with it.
+// The length of a UTF-8 sequence with this first byte; 0 if no sequence can start with it.
 size_t utf8_sequence_length(unsigned char lead) {
   if (lead < 0x80) return 1;
   if (lead >= 0xc2 && lead <= 0xdf) return 2;
@@ -28,7 +28,7 @@
   return code_point <= 0x10ffff && !is_surrogate;
 }
 
-// The length of the valid UTF-8 sequence of several bytes at the front; 0 where there is none (RFC 3629).
+// The length of the valid multi-byte UTF-8 sequence at the start of the text; 0 if there is none (RFC 3629).
 size_t multibyte_length(std::string_view text) {
   const auto lead = static_cast<unsigned char>(text.front());
   const size_t length = utf8_sequence_length(lead);
--- a/src/platform/watch_event.cpp
+++ b/src/platform/watch_event.cpp
@@ -35,8 +35,8 @@
   endpoint.state = parse_state(string_member(host, "health"));
   change.is_removed = endpoint.state == EndpointState::kRemoved;
   if (host.contains("dial")) endpoint.address = string_member(host, "dial");
-  endpoint.zone = index_in(names.zones, host.if_contains("site"));
-  endpoint.engine_type = index_in(names.engine_types, host.if_contains("class"));
+  endpoint.zone = index_of(names.zones, host.if_contains("site"));
+  endpoint.engine_type = index_of(names.engine_types, host.if_contains("class"));
   endpoint.cell = static_cast<int>(number_member_or(host, "block", 0, kMaxCell, 0));
   endpoint.size = number_member_or(host, "share", 0, kMaxSize, 1);
   endpoint.started_at =
@@ -57,7 +57,7 @@
   event.has_endpoints = true;
   const json::object& fleet = object_member(object, "fleet");
   const json::value* whole = fleet.if_contains("whole");
-  event.is_complete = whole != nullptr && whole->is_bool() && whole->get_bool();
+  event.replaces_list = whole != nullptr && whole->is_bool() && whole->get_bool();
   const json::array* hosts = optional_array(fleet, "hosts");
   if (hosts == nullptr) throw ConfigError("'hosts' is missing or not an array");
   if (hosts->size() > kMaxEndpoints) throw ConfigError("'hosts' has more than 20,000 elements");
--- a/src/platform/watch_event.h
+++ b/src/platform/watch_event.h
@@ -1,4 +1,4 @@
-// Events of the platform's watch on the endpoint list, which its protocol calls the change log.
+// Events of the platform's change log, from which a gateway watches the list of endpoints.
 #pragma once
 
 #include <boost/json/fwd.hpp>
@@ -11,16 +11,16 @@
 
 namespace sablelink::platform {
 
-/// One event. Only some concern endpoints; the others still count in the sequence.
+/// One event. Events that do not concern endpoints have sequence numbers too.
 struct WatchEvent {
   struct EndpointChange {
     config::EngineConfig endpoint;
-    bool is_removed = false;  // of `endpoint`, only the name counts then
+    bool is_removed = false;  // only the endpoint's name is used then
   };
 
   uint64_t sequence_number = 0;
-  bool has_endpoints = false;  // false: the event is about something else
-  bool is_complete = false;    // `endpoints` replaces the whole list
+  bool has_endpoints = false;  // false: the event does not concern endpoints
+  bool replaces_list = false;  // `endpoints` is the complete list
   std::vector<EndpointChange> endpoints;
 };
 
--- a/tests/http/reader_test.cpp
+++ b/tests/http/reader_test.cpp
@@ -1,4 +1,4 @@
-// Parsing of HTTP messages in one piece and byte by byte, and rejection of malformed ones.
+// Parsing of HTTP messages from pieces of any size, and rejection of malformed messages.
 #include "http/reader.h"
 
 #include <gtest/gtest.h>
@@ -33,12 +33,12 @@
 }
 
 TEST(HttpReader, RequestInPiecesOfAnySizeIsParsed) {
-  for (size_t step = 1; step <= kPost.size(); ++step) {
-    const ParseResult result = parse_request(kPost, step);
-    ASSERT_EQ(result.status, ParseStatus::kComplete) << step;
+  for (size_t piece_size = 1; piece_size <= kPost.size(); ++piece_size) {
+    const ParseResult result = parse_request(kPost, piece_size);
+    ASSERT_EQ(result.status, ParseStatus::kComplete) << piece_size;
     EXPECT_EQ(result.request.method, "POST");
     EXPECT_EQ(result.request.target, "/v1/report");
-    EXPECT_EQ(find(result.request.fields, "x-timeout-ms"), "1500");
+    EXPECT_EQ(field_value(result.request.fields, "x-timeout-ms"), "1500");
     EXPECT_EQ(result.request.body, "SELECT 1");
     EXPECT_TRUE(result.request.keep_alive);
   }
@@ -48,9 +48,9 @@
   const std::string text =
       "POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n6;x=y\r\nSELECT\r\n2\r\n 1\r\n0\r\nT: "
       "v\r\n\r\n";
-  for (size_t step = 1; step <= text.size(); ++step) {
-    const ParseResult result = parse_request(text, step);
-    ASSERT_EQ(result.status, ParseStatus::kComplete) << step;
+  for (size_t piece_size = 1; piece_size <= text.size(); ++piece_size) {
+    const ParseResult result = parse_request(text, piece_size);
+    ASSERT_EQ(result.status, ParseStatus::kComplete) << piece_size;
     EXPECT_EQ(result.request.body, "SELECT 1");
   }
 }
@@ -102,31 +102,31 @@
       {head("X: " + std::string(9000, 'a')), 431},
   };
   for (const auto& [bytes, status] : cases)
-    for (const size_t step : {size_t{1}, size_t{7}, bytes.size()}) {
-      const ParseResult result = parse_request(bytes, step);
+    for (const size_t piece_size : {size_t{1}, size_t{7}, bytes.size()}) {
+      const ParseResult result = parse_request(bytes, piece_size);
       EXPECT_EQ(result.status, ParseStatus::kMalformed) << bytes.substr(0, 80);
       EXPECT_EQ(result.error_status, status) << bytes.substr(0, 80);
     }
-  std::string many = "GET / HTTP/1.1\r\n";
-  for (int i = 0; i < 65; ++i) many += "A: b\r\n";
-  EXPECT_EQ(parse_request(many, 5).error_status, 431);
+  std::string too_many_fields = "GET / HTTP/1.1\r\n";
+  for (int i = 0; i < 65; ++i) too_many_fields += "A: b\r\n";
+  EXPECT_EQ(parse_request(too_many_fields, 5).error_status, 431);
 }
 
-// Parsed bytes are discarded, or content that never ends would fill the memory.
-TEST(HttpReader, ContentAndInterimResponsesAreBounded) {
+// Parsed bytes are discarded. Otherwise, content without an end would use up the memory.
+TEST(HttpReader, ContentAndInterimResponsesAreLimited) {
   MessageLimits limits;
   limits.max_body_bytes = 1000;
   RequestReader reader(limits);
   ParseStatus status = reader.feed("POST /v1/a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
-  size_t fed = 0;
-  while (status == ParseStatus::kNeedMore && fed < 1 << 20) {
+  size_t fed_bytes = 0;
+  while (status == ParseStatus::kNeedMore && fed_bytes < 1 << 20) {
     status = reader.feed("5\r\nabcde\r\n");
-    fed += 5;
+    fed_bytes += 5;
   }
   EXPECT_EQ(status, ParseStatus::kMalformed);
-  EXPECT_LE(fed, 1005u);
+  EXPECT_LE(fed_bytes, 1005u);
   EXPECT_EQ(reader.buffered_bytes(), 0u);
-  // Interim responses are limited in number.
+  // The number of interim responses is limited.
   ResponseReader responses(limits);
   int interim = 0;
   for (status = ParseStatus::kNeedMore; status == ParseStatus::kNeedMore && interim < 100; ++interim)
@@ -135,33 +135,33 @@
   EXPECT_EQ(interim, 9);
 }
 
-TEST(HttpReader, ResponseIsFramedByLengthOrCloseAfterInterimOnes) {
-  const auto read = [](const std::string& bytes, bool ends, size_t step) {
+TEST(HttpReader, ResponseAfterInterimResponsesEndsByLengthOrClose) {
+  const auto read = [](const std::string& bytes, bool ends, size_t piece_size) {
     ResponseReader reader{MessageLimits{}};
     ParseStatus status = ParseStatus::kNeedMore;
-    for (size_t at = 0; at < bytes.size(); at += step)
-      status = reader.feed(std::string_view(bytes).substr(at, step));
+    for (size_t at = 0; at < bytes.size(); at += piece_size)
+      status = reader.feed(std::string_view(bytes).substr(at, piece_size));
     if (ends) status = reader.finish();
     return std::make_pair(status, reader.take());
   };
-  for (const size_t step : {size_t{1}, size_t{3}, size_t{1000}}) {
+  for (const size_t piece_size : {size_t{1}, size_t{3}, size_t{1000}}) {
     const auto [a, sized] =
         read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 3\r\n\r\nabc",
-             false, step);
+             false, piece_size);
     ASSERT_EQ(a, ParseStatus::kComplete);
     EXPECT_EQ(sized.status, 200);
-    EXPECT_EQ(find(sized.fields, "page-count"), "2");
+    EXPECT_EQ(field_value(sized.fields, "page-count"), "2");
     EXPECT_EQ(sized.body, "abc");
-    EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", false, step).first, ParseStatus::kComplete);
-    const auto [b, open] = read("HTTP/1.1 200 OK\r\n\r\nabc", true, step);
+    EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", false, piece_size).first, ParseStatus::kComplete);
+    const auto [b, open] = read("HTTP/1.1 200 OK\r\n\r\nabc", true, piece_size);
     ASSERT_EQ(b, ParseStatus::kComplete);
     EXPECT_EQ(open.body, "abc");
     EXPECT_FALSE(open.keep_alive);
-    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", true, step).first,
+    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", true, piece_size).first,
               ParseStatus::kMalformed);
-    EXPECT_EQ(read("HTTP/1.1 2OO OK\r\n\r\n", false, step).first, ParseStatus::kMalformed);
-    EXPECT_EQ(read("HTTP/1.1 101 Switching\r\n\r\n", false, step).first, ParseStatus::kMalformed);
-    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", false, step).first,
+    EXPECT_EQ(read("HTTP/1.1 2OO OK\r\n\r\n", false, piece_size).first, ParseStatus::kMalformed);
+    EXPECT_EQ(read("HTTP/1.1 101 Switching\r\n\r\n", false, piece_size).first, ParseStatus::kMalformed);
+    EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\n", false, piece_size).first,
               ParseStatus::kMalformed);
   }
 }
@@ -171,8 +171,8 @@
   ASSERT_EQ(requests.feed(write_request("POST", "/v2/q", "10.0.0.1:80", {{"X-Ticket", "ab"}}, "SELECT 1")),
             ParseStatus::kComplete);
   const Request request = requests.take();
-  EXPECT_EQ(find(request.fields, "host"), "10.0.0.1:80");
-  EXPECT_EQ(find(request.fields, "x-ticket"), "ab");
+  EXPECT_EQ(field_value(request.fields, "host"), "10.0.0.1:80");
+  EXPECT_EQ(field_value(request.fields, "x-ticket"), "ab");
   EXPECT_EQ(request.body, "SELECT 1");
   ASSERT_EQ(requests.feed(write_request("DELETE", "/v2/q/ab", "h", {})), ParseStatus::kComplete);
   ResponseReader responses{MessageLimits{}};
@@ -182,11 +182,11 @@
   EXPECT_EQ(responses.take().body, "{}");
 }
 
-TEST(HttpMessage, ParseDecimalAcceptsDigitsAlone) {
+TEST(HttpMessage, ParseDecimalAcceptsOnlyDigits) {
   EXPECT_EQ(parse_decimal("0", 10), 0);
   EXPECT_EQ(parse_decimal("10", 10), 10);
-  for (const char* wrong : {"", "11", "-1", "+1", "1.0", " 1", "1 ", "0x1", "1e1", "99999999999999999999"})
-    EXPECT_EQ(parse_decimal(wrong, 10), -1) << wrong;
+  for (const char* invalid : {"", "11", "-1", "+1", "1.0", " 1", "1 ", "0x1", "1e1", "99999999999999999999"})
+    EXPECT_EQ(parse_decimal(invalid, 10), -1) << invalid;
 }
 
 }  // namespace
--- a/tests/platform/client_request_test.cpp
+++ b/tests/platform/client_request_test.cpp
@@ -1,4 +1,4 @@
-// Validation of client requests: statuses and texts are response bodies, so they are compared byte for byte.
+// Validation of client requests. Error texts are response bodies, so they are compared byte for byte.
 #include "platform/client_request.h"
 
 #include <gtest/gtest.h>
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -1,4 +1,4 @@
-// The configuration that the platform passes to a gateway.
+// Parsing of the configuration that the platform passes to a gateway.
 #include "platform/config.h"
 
 #include <gtest/gtest.h>
--- a/tests/platform/descriptor_budget_test.cpp
+++ b/tests/platform/descriptor_budget_test.cpp
@@ -1,4 +1,4 @@
-// How file descriptors are divided.
+// Division of file descriptors between client and engine connections.
 #include "platform/descriptor_budget.h"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace sablelink::test {
 namespace {
 
-TEST(DescriptorBudget, PartsFitUnderTheLimit) {
+TEST(DescriptorBudget, BudgetsStayWithinTheLimit) {
   for (const size_t limit : {256, 384, 512, 1024}) {
     const auto budget = platform::DescriptorBudget::from_limit(limit);
     EXPECT_LE(budget.clients + budget.engines + 24, limit);
--- a/tests/platform/endpoints/change_log_reader_test.cpp
+++ b/tests/platform/endpoints/change_log_reader_test.cpp
@@ -1,4 +1,4 @@
-// Events and heartbeats of the platform's change log, read from bytes in any pieces.
+// Parsing of the change log's events and heartbeats from pieces of any size.
 #include "platform/endpoints/change_log_reader.h"
 
 #include <gtest/gtest.h>
@@ -21,19 +21,20 @@
                            "\n"
                            R"({"seq":5,"invalidate":{}})"
                            "\n5\n";
-  for (size_t step = 1; step < 90; step += 11) {
+  for (size_t piece_size = 1; piece_size < 90; piece_size += 11) {
     ChangeLogReader reader(3, {});
-    std::vector<uint64_t> applied;
+    std::vector<uint64_t> handled_events;
     bool in_sequence = true;
-    for (size_t at = 0; at < text.size(); at += step)
+    for (size_t at = 0; at < text.size(); at += piece_size)
       in_sequence = in_sequence &&
-                    reader.feed(std::string_view(text).substr(at, step),
-                                [&](const WatchEvent& event) { applied.push_back(event.sequence_number); });
+                    reader.feed(std::string_view(text).substr(at, piece_size), [&](const WatchEvent& event) {
+                      handled_events.push_back(event.sequence_number);
+                    });
     EXPECT_TRUE(in_sequence);
-    EXPECT_EQ(applied, (std::vector<uint64_t>{4, 5}));
+    EXPECT_EQ(handled_events, (std::vector<uint64_t>{4, 5}));
     EXPECT_EQ(reader.last_sequence_number(), 5u);
   }
-  // A missing event, a heartbeat ahead, a malformed line, a line without end: a new connection is needed.
+  // Rejected: a missing event, a heartbeat for a later event, malformed lines, a line that is too long.
   for (const std::string line : {"{\"seq\":9}\n", "7\n", "{\"seq\":4\n", "x\n", "{\"seq\":\"4\"}\n"}) {
     ChangeLogReader reader(3, {});
     EXPECT_FALSE(reader.feed(line, [](const WatchEvent&) { FAIL(); })) << line;
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -1,4 +1,4 @@
-// Watching the platform's change log through disconnects, silence and a change of its address.
+// Watch of the platform's change log: disconnects, missing heartbeats and a change of its address.
 #include "platform/endpoints/endpoint_watcher.h"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
 namespace sablelink::test {
 namespace {
 
-// Bytes that never become a complete line don't count as heartbeats. Events from the old address are applied
+// Bytes that do not complete a line are no heartbeat. Events from the old address are applied
 // until a connection to the new one is established.
-TEST(EndpointWatcher, PartialLinesAreSilenceAndOldConnectionCountsUntilNewOneIsEstablished) {
+TEST(EndpointWatcher, PartialLinesAreNoHeartbeatAndOldConnectionIsUsedUntilNewOneIsEstablished) {
   sim::Account account;
   sim::World world(7, account);
   sim::Streams streams(world, {});
@@ -57,7 +57,7 @@
   sends_partial_lines = false;
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(endpoints.size(), 2u);
-  config.watch_address = "10.2.0.2:8500";  // where nobody listens yet
+  config.watch_address = "10.2.0.2:8500";  // without a listener
   watcher->switch_address(config);
   sends_event = true;
   world.run_until(world.now() + 2 * kSecond);
@@ -67,8 +67,8 @@
   while (world.step()) continue;
 }
 
-// The log disconnects within an event, repeats events, falls silent and moves to a new address.
-TEST(EndpointWatcher, ListStaysCompleteThroughDisconnectsSilenceAndNewAddress) {
+// The change log disconnects within an event, repeats events, stops sending and moves to a new address.
+TEST(EndpointWatcher, ListStaysCompleteAfterDisconnectsMissingHeartbeatsAndNewAddress) {
   sim::Account account;
   sim::World world(7, account);
   sim::Streams streams(world, {});
@@ -81,10 +81,10 @@
                      R"(,"fleet":{"whole":false,"hosts":[{"host":"n)" + std::to_string(sequence_number) +
                      R"(","dial":"1.2.3.4:5","health":"ready"}]}})" + "\n");
   };
-  enum class Behaviour { kCutOffEvent, kRepeatEvents, kSilent, kNormal };
-  Behaviour behaviour = Behaviour::kCutOffEvent;
+  enum class Behaviour { kTruncatedEvent, kRepeatedEvents, kSilent, kNormal };
+  Behaviour behaviour = Behaviour::kTruncatedEvent;
   int connections = 0;
-  int new_connections = 0;
+  int new_address_connections = 0;
   const auto serve = [&](std::shared_ptr<rpc::ByteStream> stream) -> rpc::Awaitable<void> {
     ++connections;
     const std::optional<std::string> request = co_await stream->read(100);
@@ -93,11 +93,11 @@
     std::string text;
     for (size_t i = since - 3; i < events.size(); ++i) {
       text += events[i];
-      if (behaviour == Behaviour::kRepeatEvents) text += events[i];
+      if (behaviour == Behaviour::kRepeatedEvents) text += events[i];
     }
-    if (behaviour == Behaviour::kCutOffEvent) text.resize(text.size() - std::min<size_t>(text.size(), 10));
+    if (behaviour == Behaviour::kTruncatedEvent) text.resize(text.size() - std::min<size_t>(text.size(), 10));
     if (behaviour != Behaviour::kSilent) co_await rpc::write_all(*stream, text);
-    if (behaviour == Behaviour::kCutOffEvent) co_return;
+    if (behaviour == Behaviour::kTruncatedEvent) co_return;
     for (int heartbeats = 0; behaviour != Behaviour::kSilent && heartbeats < 30; ++heartbeats) {
       co_await rpc::write_all(*stream, std::to_string(3 + events.size()) + "\n");
       co_await sleep_for(*server, kSecond);
@@ -106,7 +106,7 @@
   };
   streams.listen("10.2.0.1:8500", server, serve);
   streams.listen("10.2.0.2:8500", server, [&](auto stream) -> rpc::Awaitable<void> {
-    ++new_connections;
+    ++new_address_connections;
     co_await serve(std::move(stream));
   });
   NullLog log;
@@ -119,16 +119,16 @@
   append_event(4);
   world.settle();
   world.run_until(world.now() + kSecond);
-  EXPECT_EQ(endpoints.size(), 2u);  // only ever a part of the event
+  EXPECT_EQ(endpoints.size(), 2u);  // no connection has delivered the complete event
   EXPECT_GE(connections, 2);
-  behaviour = Behaviour::kRepeatEvents;
+  behaviour = Behaviour::kRepeatedEvents;
   world.run_until(world.now() + kSecond);
   EXPECT_EQ(endpoints.size(), 3u);
-  // A heartbeat names an event that was not delivered.
+  // A heartbeat has the number of an event that was not delivered.
   append_event(5);
   world.run_until(world.now() + 3 * kSecond);
   EXPECT_EQ(endpoints.size(), 4u);
-  // Silence on an open connection.
+  // An open connection without heartbeats.
   behaviour = Behaviour::kSilent;
   world.run_until(world.now() + 3 * kSecond);
   append_event(6);
@@ -141,12 +141,12 @@
   config.watch_address = "10.2.0.2:8500";
   watcher->switch_address(config);
   world.run_until(world.now() + kSecond);
-  EXPECT_GE(new_connections, 1);
+  EXPECT_GE(new_address_connections, 1);
   EXPECT_EQ(endpoints.size(), 6u);
   streams.unlisten("10.2.0.1:8500");
   streams.unlisten("10.2.0.2:8500");
   watcher.reset();
-  while (world.step()) continue;  // pending coroutines end
+  while (world.step()) continue;  // lets pending coroutines end
 }
 
 }  // namespace
--- a/tests/platform/engine_client/connection_pool_test.cpp
+++ b/tests/platform/engine_client/connection_pool_test.cpp
@@ -40,20 +40,20 @@
   EXPECT_EQ(fetches, 2);
 }
 
-// On sockets, where after a stall of the process readable bytes and expired timers show together.
+// After a stall of the process, its event loop finds readable sockets and expired timers at the same time.
 TEST(ConnectionPool, AfterStallResponsesAreReadBeforeCallsTimeOut) {
   const auto wall = [] { return std::chrono::system_clock::now(); };
   const auto steady = [] { return std::chrono::steady_clock::now(); };
   rpc::AsioLoop engine_loop(wall, steady);
   rpc::AsioLoop client_loop(wall, steady);
-  auto engine_net = std::make_unique<rpc::TcpTransport>(engine_loop);
-  auto client_net = std::make_unique<rpc::TcpTransport>(client_loop);
+  auto engine_network = std::make_unique<rpc::TcpTransport>(engine_loop);
+  auto client_network = std::make_unique<rpc::TcpTransport>(client_loop);
   std::atomic<int> calls{0};
   config::EngineConfig engine;
   engine.name = "n";
   engine.address =
       "127.0.0.1:" +
-      std::to_string(engine_net->listen("127.0.0.1:0", [&](auto stream) -> rpc::Awaitable<void> {
+      std::to_string(engine_network->listen("127.0.0.1:0", [&](auto stream) -> rpc::Awaitable<void> {
         for (;;) {
           const std::optional<std::string> bytes = co_await stream->read(4096);
           if (!bytes || bytes->empty()) co_return;
@@ -68,7 +68,7 @@
   platform::EngineClientOptions options;
   options.budget.engines = 4;
   options.class_names = {"lookup"};
-  auto client = std::make_unique<platform::EngineClient>(options, *client_net, client_loop, registry);
+  auto client = std::make_unique<platform::EngineClient>(options, *client_network, client_loop, registry);
   struct StaticEndpointSource : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
@@ -79,7 +79,7 @@
   client->on_endpoints_changed();
   client->start({7, 0}, registry.endpoints()[0].engine, make_spec(make_request_id(7)));
   std::thread engine_thread([&] { engine_loop.run(); });
-  // Stalls as soon as the call is sent, until well after it would time out.
+  // Stalls the client from the sending of the call until well after the call's timeout.
   bool has_stalled = false;
   std::function<void()> check = [&] {
     if (!has_stalled && client->counters().calls_sent > 0) {
@@ -94,15 +94,15 @@
   EXPECT_EQ(client->counters().calls_timed_out, 0u);
   EXPECT_EQ(calls, 1);
   client.reset();
-  client_net.reset();
+  client_network.reset();
   client_loop.poll();
   engine_loop.stop();
   engine_thread.join();
-  engine_net.reset();
+  engine_network.reset();
   engine_loop.poll();
 }
 
-// A duplicate of a response must not be taken for the response to the next call.
+// A duplicate of a response must not be mistaken for the response to the next call.
 TEST(ConnectionPool, BytesAfterResponseCloseTheConnection) {
   for (const bool is_delayed : {false, true}) {
     PlatformFixture fixture(20, 1);
@@ -110,9 +110,9 @@
     engine.script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (received.request.method != "POST" || received.connection_number > 1) return std::nullopt;
       const std::string interim = "HTTP/1.1 102 Processing\r\n\r\n";
-      const std::string copy = engine.page_response(0);
-      return ScriptedResponse{interim + copy + (is_delayed ? "" : copy), 0, false, false,
-                              is_delayed ? copy : ""};
+      const std::string duplicate = engine.page_response(0);
+      return ScriptedResponse{interim + duplicate + (is_delayed ? "" : duplicate), 0, false, false,
+                              is_delayed ? duplicate : ""};
     };
     fixture.publish_endpoints();
     std::vector<std::shared_ptr<ClientResponse>> responses;
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(ConnectionPool, RefusedConnectionsSendAttemptsToAnotherEngine) {
+TEST(ConnectionPool, AttemptIsRetriedOnAnotherEngineAfterRefusedConnection) {
   PlatformFixture fixture;
   ScriptedEngine& refusing_engine = fixture.add_engine();
   ScriptedEngine& accepting_engine = fixture.add_engine();
@@ -140,7 +140,7 @@
   EXPECT_EQ(accepting_engine.request_count("POST"), 6u);
 }
 
-// An engine at its limit of connections refuses further ones; what it runs goes on.
+// An engine at its connection limit refuses new connections while its attempts continue.
 TEST(ConnectionPool, RefusedConnectionDoesNotEndRunningAttempts) {
   PlatformFixture fixture;
   ScriptedEngine& first_engine = fixture.add_engine();
@@ -164,7 +164,7 @@
   fixture.run_for(kSecond);
 }
 
-// Engines end an attempt that nobody polls for 2 s.
+// Engines abandon an attempt that receives no call for 2 s.
 TEST(ConnectionPool, ManyAttemptsArePolledOverFewConnections) {
   PlatformFixture fixture(20, 4);
   ScriptedEngine& engine = fixture.add_engine();
@@ -180,7 +180,7 @@
   TimeUs longest_gap = 0;
   for (const auto& received : engine.received_requests) {
     const std::string tag = received.request.method == "POST"
-                                ? std::string(http::find(received.request.fields, "x-ticket"))
+                                ? std::string(http::field_value(received.request.fields, "x-ticket"))
                                 : received.request.target.substr(6, 16);
     TimeUs& last_at = last_call_at[tag];
     if (last_at > 0) longest_gap = std::max(longest_gap, received.received_at - last_at);
--- a/tests/platform/engine_client/engine_client_harness.h
+++ b/tests/platform/engine_client/engine_client_harness.h
@@ -1,4 +1,4 @@
-// Attempts and responses that the tests of the engine client share.
+// Shared attempts and engine scripts of the engine client's tests.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace sablelink::test {
 
-/// A statement under the client tag, with 5 s to complete.
+/// An attempt with the client tag and a timeout of 5 s.
 inline dispatch::AttemptSpec make_spec(const std::string& client_tag) {
   dispatch::Statement statement;
   statement.text = "SELECT 1";
@@ -20,7 +20,7 @@
   return spec;
 }
 
-/// Script of an engine that confirms a cancellation 100 ms after its DELETE and is as usual otherwise.
+/// Engine script that confirms a cancellation 100 ms after the DELETE and otherwise follows the protocol.
 inline std::optional<ScriptedResponse> confirm_cancellation_late(
     const ScriptedEngine::ReceivedRequest& received) {
   if (received.request.method != "DELETE") return std::nullopt;
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -1,4 +1,4 @@
-// Attempts at the platform's engines on a virtual clock: results, retries, cancellation.
+// Attempts on the platform's engines, with a virtual clock: results, retries, cancellation.
 #include "platform/engine_client/engine_client.h"
 
 #include <gtest/gtest.h>
@@ -31,15 +31,15 @@
   ASSERT_NE(post, nullptr);
   EXPECT_EQ(post->request.target, "/v2/q");
   EXPECT_EQ(post->request.body, text);
-  EXPECT_EQ(http::find(post->request.fields, "x-ticket"), make_request_id(1));
-  EXPECT_EQ(http::find(post->request.fields, "x-queue"), "lookup");
-  EXPECT_LE(http::parse_decimal(http::find(post->request.fields, "x-max-ms"), 100000), 2000);
+  EXPECT_EQ(http::field_value(post->request.fields, "x-ticket"), make_request_id(1));
+  EXPECT_EQ(http::field_value(post->request.fields, "x-queue"), "lookup");
+  EXPECT_LE(http::parse_decimal(http::field_value(post->request.fields, "x-max-ms"), 100000), 2000);
   EXPECT_EQ(engine.request_count("POST"), 1u);
   EXPECT_EQ(fixture.engine_client().active_attempts(), 0u);
   EXPECT_EQ(fixture.dispatcher().tracked_requests(), 0u);
 }
 
-// Engines drop duplicates by the idempotency key and reject a request that comes without it.
+// Engines detect duplicates by the idempotency key and reject requests without one.
 TEST(EngineClient, IdempotencyAndOrderingKeysAreForwarded) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
@@ -60,8 +60,8 @@
   EXPECT_EQ(unknown_tenant->status, 400);
   EXPECT_EQ(invalid_key->status, 400);
   ASSERT_EQ(engine.request_count("POST"), 1u);
-  EXPECT_EQ(http::find(engine.first_request("POST")->request.fields, "x-nonce"), "fc9a5e3c");
-  EXPECT_EQ(http::find(engine.first_request("POST")->request.fields, "x-ref"), "t-7");
+  EXPECT_EQ(http::field_value(engine.first_request("POST")->request.fields, "x-nonce"), "fc9a5e3c");
+  EXPECT_EQ(http::field_value(engine.first_request("POST")->request.fields, "x-ref"), "t-7");
 }
 
 TEST(EngineClient, LongQueryIsPolledUntilItCompletes) {
@@ -77,7 +77,7 @@
   EXPECT_GE(engine.request_count("GET"), 3u);
 }
 
-// An attempt is not bound to a connection: an interrupted call is repeated on another one.
+// An attempt is not tied to a connection: an interrupted call is repeated on another connection.
 TEST(EngineClient, DisconnectDuringStartOrResponseCausesNoSecondStart) {
   for (const bool during_start : {true, false}) {
     PlatformFixture fixture;
@@ -89,7 +89,7 @@
           during_start ? received.request.method == "POST" : received.request.target.ends_with("/0");
       if (!is_affected || ++disconnects > 2) return std::nullopt;
       if (during_start) {
-        return std::nullopt;  // started; the connection is reset before the response, below
+        return std::nullopt;  // the attempt starts; below, the connection is reset before the response
       }
       return ScriptedResponse{"HTTP/1.1 20", 0, true, false};
     };
@@ -103,7 +103,7 @@
   }
 }
 
-// The start never reached the engine. The engine responds to the poll, so it is not an outlier.
+// The engine does not receive the start. It responds to the poll, so it is not ejected as an outlier.
 TEST(EngineClient, ResetStartsAreRetriedAndEjectNoEngine) {
   PlatformFixture fixture;
   std::vector<ScriptedEngine*> engines;
@@ -112,9 +112,9 @@
   for (ScriptedEngine* engine : engines)
     engine->script = [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (received.request.method != "POST") return std::nullopt;
-      if (starts_by_tag[std::string(http::find(received.request.fields, "x-ticket"))]++ > 0)
+      if (starts_by_tag[std::string(http::field_value(received.request.fields, "x-ticket"))]++ > 0)
         return std::nullopt;
-      return ScriptedResponse{"", 0, true, false, "", true};  // as if the engine had not read it
+      return ScriptedResponse{"", 0, true, false, "", true};  // as if the engine had not received it
     };
   fixture.publish_endpoints();
   std::vector<std::shared_ptr<ClientResponse>> responses;
@@ -159,7 +159,7 @@
   struct Case {
     int status;
     http::Fields fields;
-    int expected_starts;  // the first one and its retry
+    int expected_starts;  // the first start and its retry
   };
   for (const Case& test_case :
        {Case{503, {{"X-Shed", "1"}}, 2}, Case{500, {}, 2}, Case{504, {{"X-Shed", "1"}}, 2}}) {
@@ -184,7 +184,7 @@
   }
 }
 
-// Whether a decision still holds is checked right before the first byte is sent.
+// Whether a decision is still valid is checked immediately before the start is sent.
 TEST(EngineClient, SupersededStartIsNotSent) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
--- a/tests/platform/engine_client/orphaned_attempts_test.cpp
+++ b/tests/platform/engine_client/orphaned_attempts_test.cpp
@@ -1,4 +1,4 @@
-// Attempts of one request never overlap, whatever becomes of the cancellation of the previous one.
+// Attempts of one request never overlap, whether or not the previous attempt's cancellation succeeds.
 #include "platform/engine_client/orphaned_attempts.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +35,7 @@
 }
 
 // On another connection a DELETE could overtake the POST that it cancels.
-TEST(OrphanedAttempts, CancellationIsDelayedBehindItsStart) {
+TEST(OrphanedAttempts, CancellationIsDelayedAfterItsStart) {
   PlatformFixture fixture;
   ScriptedEngine& first_engine = fixture.add_engine();
   ScriptedEngine& second_engine = fixture.add_engine();
@@ -45,7 +45,7 @@
   first_engine.script =
       [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
     if (received.request.method != "DELETE" || ++cancellations > 1) return std::nullopt;
-    return ScriptedResponse{http::write_response(404, {}, "", true)};  // says nothing about the attempt
+    return ScriptedResponse{http::write_response(404, {}, "", true)};  // does not confirm the cancellation
   };
   fixture.publish_endpoints();
   fixture.engine_client().start({7, 0}, fixture.engine_id(first_engine), make_spec(make_request_id(7)));
@@ -81,13 +81,13 @@
   TimeUs last_call_at = 0;
   for (const auto& received : first_engine.received_requests)
     if (received.request.method != "DELETE") last_call_at = received.received_at;
-  // The engine may have held the last call for 250 ms, and counts 2 s from the end of that.
+  // The last call may be a long poll of 250 ms. The engine's timeout of 2 s starts at the end of the call.
   EXPECT_GE(second_engine.first_request("POST")->received_at, last_call_at + 2250 * kMs);
   fixture.engine_client().cancel({7, 1});
   fixture.run_for(kSecond);
 }
 
-// Rule 3: a start that has waited is not sent once its engine is known to be draining.
+// Rule 3: a delayed start is not sent to an engine that has begun to drain.
 TEST(OrphanedAttempts, DelayedAttemptDoesNotStartOnDrainingEngine) {
   PlatformFixture fixture;
   ScriptedEngine& first_engine = fixture.add_engine();
@@ -105,8 +105,8 @@
   EXPECT_EQ(second_engine.request_count("POST"), 0u);
 }
 
-// The engine has yet to read the start: that it does not know the attempt proves nothing.
-TEST(OrphanedAttempts, UnknownAttemptWhoseStartIsUnansweredIsNotConfirmed) {
+// An engine that has not read the start reports the attempt as unknown, although it will execute it later.
+TEST(OrphanedAttempts, UnknownAttemptIsNotConfirmedAsEndedWhileItsStartHasNoResponse) {
   PlatformFixture fixture;
   ScriptedEngine& first_engine = fixture.add_engine();
   ScriptedEngine& second_engine = fixture.add_engine();
@@ -132,7 +132,8 @@
   fixture.run_for(kSecond);
 }
 
-// A client repeats its request under the same tag, as after a disconnect: engines know both attempts by it.
+// A client may repeat its request with the same tag, for example after a disconnect. Engines identify the
+// attempts of both requests by this tag.
 TEST(OrphanedAttempts, ReusedClientTagWaitsForPreviousAttempt) {
   PlatformFixture fixture;
   ScriptedEngine& first_engine = fixture.add_engine();
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -1,6 +1,5 @@
-// Races on real connections of the platform side: one event waits in the kernel, unread, while the gateway
-// handles another. Every byte is held until the other event has happened, so that the order is the same in
-// every run.
+// Races on real sockets: one event waits unread in the kernel while the gateway handles another event. Each
+// test controls when bytes are sent and when the event loop runs, so the order is the same in every run.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -27,13 +26,13 @@
 namespace sablelink::test {
 namespace {
 
-size_t occurrences(const std::string& text, const std::string& wanted) {
+size_t count_occurrences(const std::string& text, const std::string& wanted) {
   size_t n = 0;
   for (size_t at = text.find(wanted); at != std::string::npos; at = text.find(wanted, at + 1)) ++n;
   return n;
 }
 
-// A blocking socket of the test's own. Sent bytes are in the peer's receive buffer when send() returns.
+// A blocking socket outside the event loop. When send() returns, the peer's receive buffer has the bytes.
 class RawSocket {
  public:
   explicit RawSocket(int fd) : fd_(fd) {}
@@ -55,7 +54,7 @@
     *port = ntohs(at.sin_port);
     return listener;
   }
-  // The next connection in the backlog, if there is one.
+  // The next connection in the backlog; empty if there is none.
   std::optional<RawSocket> accept() {
     pollfd listener{fd_, POLLIN, 0};
     if (::poll(&listener, 1, 0) <= 0) return std::nullopt;
@@ -64,7 +63,7 @@
   void send(const std::string& bytes) {
     EXPECT_EQ(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
-  // Appends all bytes that have arrived to `received`; records how the connection ended.
+  // Appends all bytes that have arrived to `received` and records the end of the connection.
   void receive() {
     char buffer[4096];
     for (;;) {
@@ -83,7 +82,7 @@
   }
 
   std::string received;
-  bool closed = false;  // by the peer, in order
+  bool closed = false;  // by the peer, without a reset
   bool reset = false;
 
  private:
@@ -109,7 +108,7 @@
     engine_options.budget.engines = 2;
     engine_options.class_names = {"lookup", "report"};
     engine_client_ =
-        std::make_unique<platform::EngineClient>(engine_options, *net_, loop_, endpoint_registry_);
+        std::make_unique<platform::EngineClient>(engine_options, *network_, loop_, endpoint_registry_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
         plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *engine_client_, endpoint_source_, log_);
     engine_client_->set_dispatcher(dispatcher_.get());
@@ -117,9 +116,9 @@
     server_options.classes = engine_options.class_names;
     server_options.max_timeout_us = {5 * kSecond, 15 * kSecond};
     server_options.max_connections = connections;
-    http_server_ = std::make_unique<platform::HttpServer>(server_options, *dispatcher_, *net_, loop_);
-    port_ =
-        net_->listen("127.0.0.1:0", [this](auto stream) { return http_server_->serve(std::move(stream)); });
+    http_server_ = std::make_unique<platform::HttpServer>(server_options, *dispatcher_, *network_, loop_);
+    gateway_port_ = network_->listen("127.0.0.1:0",
+                                     [this](auto stream) { return http_server_->serve(std::move(stream)); });
     dispatcher_->start();
     engine_client_->on_endpoints_changed();
     dispatcher_->on_endpoints_changed(EndpointUpdateKind::kFull, endpoint_registry_.endpoints());
@@ -129,34 +128,35 @@
     http_server_.reset();
     engine_client_.reset();
     dispatcher_.reset();
-    net_.reset();
+    network_.reset();
     loop_.poll();
   }
 
-  // Runs the gateway until the condition holds; false after 20 s.
+  // Runs the gateway until the condition is true. Returns false after 20 s.
   template <typename Condition>
   bool wait_until(Condition condition) {
-    const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
     while (!condition()) {
-      if (std::chrono::steady_clock::now() > give_up_at) return false;
+      if (std::chrono::steady_clock::now() > deadline) return false;
       loop_.poll();
       std::this_thread::sleep_for(std::chrono::milliseconds(1));
     }
     return true;
   }
-  // Whether the client receives a response of that status.
-  bool receives_status(RawSocket& client, const std::string& status) {
+  // Runs the gateway until the client has a response or the connection ends. Returns whether there is a
+  // response with the status.
+  bool wait_for_status(RawSocket& client, const std::string& status) {
     return wait_until([&] {
              client.receive();
              return client.received.starts_with("HTTP/1.1 " + status) || client.closed || client.reset;
            }) &&
            client.received.starts_with("HTTP/1.1 " + status);
   }
-  // A connection on which one request has been answered.
-  RawSocket idle_connection() {
-    RawSocket client = RawSocket::connect(port_);
+  // Returns a connection on which one request has received its response.
+  RawSocket open_idle_connection() {
+    RawSocket client = RawSocket::connect(gateway_port_);
     client.send(health_check());
-    EXPECT_TRUE(receives_status(client, "200"));
+    EXPECT_TRUE(wait_for_status(client, "200"));
     client.received.clear();
     return client;
   }
@@ -167,25 +167,25 @@
     return http::write_request("POST", "/v1/lookup", "h", {{"X-Request-Id", id}, {"X-Timeout-Ms", "5000"}},
                                "SELECT 1");
   }
-  // How often the text has arrived at the engine so far.
+  // The number of count_occurrences of the text in the bytes that the engine has received.
   size_t engine_request_count(const std::string& text) {
     while (auto connection = engine_listener_->accept())
       engine_connections_.push_back(std::move(*connection));
     size_t n = 0;
     for (RawSocket& connection : engine_connections_) {
       connection.receive();
-      n += occurrences(connection.received, text);
+      n += count_occurrences(connection.received, text);
     }
     return n;
   }
 
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
+  std::unique_ptr<rpc::TcpTransport> network_ = std::make_unique<rpc::TcpTransport>(loop_);
   std::unique_ptr<RawSocket> engine_listener_;
   std::vector<RawSocket> engine_connections_;
   int engine_port_ = 0;
-  int port_ = 0;  // of the gateway
+  int gateway_port_ = 0;  // of the gateway
   struct StaticEndpointSource : dispatch::EndpointSource {
     void watch(bool) override {}
     void fetch() override {}
@@ -202,43 +202,43 @@
   HttpServerRaceAtLimit() : HttpServerRace(2) {}
 };
 
-// Closing the listener would reset connections that have not been accepted.
-TEST_F(HttpServerRace, RequestInTheBacklogIsAnsweredAfterTheListenerCloses) {
+// A listener that closes before it has accepted all connections would reset those in its backlog.
+TEST_F(HttpServerRace, RequestInTheBacklogReceivesAResponseAfterTheListenerCloses) {
   std::vector<RawSocket> clients;
   for (int i = 0; i < 3; ++i) {
-    clients.push_back(RawSocket::connect(port_));
+    clients.push_back(RawSocket::connect(gateway_port_));
     clients.back().send(health_check());
   }
   http_server_->start_draining();
-  net_->stop_listening();
-  for (RawSocket& client : clients) EXPECT_TRUE(receives_status(client, "503"));
+  network_->stop_listening();
+  for (RawSocket& client : clients) EXPECT_TRUE(wait_for_status(client, "503"));
 }
 
-// The request waits in the kernel: by what has been read so far the connection is idle.
+// The request waits in the kernel. According to the bytes read so far, the connection is idle.
 TEST_F(HttpServerRace, UnreadRequestKeepsItsIdleConnectionOpen) {
-  RawSocket client = idle_connection();
+  RawSocket client = open_idle_connection();
   client.send(health_check());
   http_server_->start_draining();
   http_server_->close_idle_connections();
-  EXPECT_TRUE(receives_status(client, "503"));
+  EXPECT_TRUE(wait_for_status(client, "503"));
 }
 
-// The second request arrived before draining began: the connection doesn't close after the first response.
-TEST_F(HttpServerRace, PipelinedRequestIsAnsweredThoughDrainingBegins) {
-  RawSocket client = RawSocket::connect(port_);
+// The second request arrives before draining begins, so the connection stays open after the first response.
+TEST_F(HttpServerRace, PipelinedRequestReceivesAResponseAlthoughDrainingBegins) {
+  RawSocket client = RawSocket::connect(gateway_port_);
   client.send(health_check() + health_check());
   http_server_->start_draining();
   EXPECT_TRUE(wait_until([&] {
     client.receive();
     return client.closed || client.reset;
   }));
-  EXPECT_EQ(occurrences(client.received, "HTTP/1.1 503"), 2u);
+  EXPECT_EQ(count_occurrences(client.received, "HTTP/1.1 503"), 2u);
   EXPECT_TRUE(client.closed);
 }
 
-// The client sees the connection closed in order, not reset.
+// The connection is closed without a reset.
 TEST_F(HttpServerRace, RequestAfterTheHalfCloseIsIgnored) {
-  RawSocket client = idle_connection();
+  RawSocket client = open_idle_connection();
   http_server_->start_draining();
   http_server_->close_idle_connections();
   client.send(query(1));
@@ -252,15 +252,15 @@
   EXPECT_EQ(dispatcher_->counters().accepted, 0u);
 }
 
-// The longest idle connection has just sent its next request: another one is evicted.
+// The longest idle connection has an unread request, so another one is evicted.
 TEST_F(HttpServerRaceAtLimit, ConnectionWithAnUnreadRequestIsNotEvicted) {
-  RawSocket oldest = idle_connection();
-  RawSocket other = idle_connection();
-  RawSocket fresh = RawSocket::connect(port_);  // the gateway accepts it first
+  RawSocket oldest = open_idle_connection();
+  RawSocket other = open_idle_connection();
+  RawSocket newest = RawSocket::connect(gateway_port_);  // the gateway accepts it first
   oldest.send(health_check());
-  EXPECT_TRUE(receives_status(oldest, "200"));
-  fresh.send(health_check());
-  EXPECT_TRUE(receives_status(fresh, "200"));
+  EXPECT_TRUE(wait_for_status(oldest, "200"));
+  newest.send(health_check());
+  EXPECT_TRUE(wait_for_status(newest, "200"));
   EXPECT_TRUE(wait_until([&] {
     other.receive();
     return other.closed;
@@ -268,24 +268,24 @@
   EXPECT_EQ(http_server_->counters().evicted_connections, 1u);
 }
 
-// In a burst, no connection has sent its request when the next one is accepted.
+// In a burst of new connections, none has sent its request when the next one is accepted.
 TEST_F(HttpServerRaceAtLimit, NewConnectionIsNotEvictedForTheNextOne) {
-  RawSocket idle = idle_connection();
-  RawSocket first = RawSocket::connect(port_);
-  RawSocket second = RawSocket::connect(port_);
+  RawSocket idle = open_idle_connection();
+  RawSocket first = RawSocket::connect(gateway_port_);
+  RawSocket second = RawSocket::connect(gateway_port_);
   EXPECT_TRUE(wait_until([&] { return http_server_->counters().accepted_connections == 3; }));
   first.send(health_check());
   second.send(health_check());
-  EXPECT_TRUE(receives_status(first, "200"));
-  EXPECT_TRUE(receives_status(second, "200"));
+  EXPECT_TRUE(wait_for_status(first, "200"));
+  EXPECT_TRUE(wait_for_status(second, "200"));
 }
 
-// The attempt waits for a connection to the engine. One becomes free, and the client disconnects, before the
-// gateway runs again.
+// An attempt waits for a connection to the engine. A connection becomes idle and the attempt's client
+// disconnects before the gateway's event loop runs again.
 TEST_F(HttpServerRace, QueuedAttemptIsNotSentAfterItsClientDisconnects) {
   std::vector<RawSocket> clients;
   for (int n = 1; n <= 3; ++n) {
-    clients.push_back(RawSocket::connect(port_));
+    clients.push_back(RawSocket::connect(gateway_port_));
     clients.back().send(query(n));
   }
   ASSERT_TRUE(wait_until(
@@ -293,13 +293,14 @@
   size_t sent = 2;
   uint64_t disconnected = 0;
   for (int round = 0; round < 50 && disconnected == 0; ++round) {
-    // The response is read in one turn of the loop. Its connection is reused only some ms later, which pass
-    // without a turn.
+    // One run of the event loop reads the response. Its connection may be reused only some milliseconds
+    // later, when the loop does not run.
     engine_connections_[0].send(http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true));
     loop_.poll();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    if (engine_request_count("POST /v2/q ") > sent) {  // this thread was suspended meanwhile: try again
-      clients.push_back(RawSocket::connect(port_));
+    if (engine_request_count("POST /v2/q ") >
+        sent) {  // the test's thread was suspended meanwhile: repeat the round
+      clients.push_back(RawSocket::connect(gateway_port_));
       clients.back().send(query(10 + round));
       ++sent;
       const uint64_t expected = dispatcher_->counters().accepted + 1;
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -1,4 +1,4 @@
-// Clients of the platform on a virtual clock: malformed requests, limits, slow clients, shutdown.
+// HTTP server with a virtual clock: invalid requests, limits, slow clients, shutdown.
 #include <gtest/gtest.h>
 
 #include "tests/platform/platform_harness.h"
@@ -87,13 +87,13 @@
   EXPECT_EQ(first->status, 200);
   EXPECT_EQ(second->status, 409);
   EXPECT_EQ(engine.request_count("POST"), 1u);
-  // After its response the id can be used again.
+  // After the response to its request, the id can be used again.
   const auto third = fixture.send(PlatformFixture::make_query(make_request_id(1)));
   fixture.run_for(2 * kSecond);
   EXPECT_EQ(third->status, 200);
 }
 
-// Hundreds of clients that connect and send nothing don't keep others out.
+// Hundreds of clients that connect and send nothing do not prevent the admission of others.
 TEST(HttpServer, SilentConnectionsAreEvictedForNewOnes) {
   PlatformFixture fixture(10);
   fixture.add_engine();
@@ -111,7 +111,7 @@
   for (const auto& closed : silent) EXPECT_GE(closed->status, 0);
 }
 
-// Each check is a system call: a new connection costs at most one of them, however many are idle.
+// Each check is a system call. A new connection causes at most one, regardless of the number of idle ones.
 TEST(HttpServer, EvictionChecksFewConnectionsForUnreadBytes) {
   struct SilentStream : rpc::ByteStream {
     explicit SilentStream(int* check_count) : readable_checks(check_count) {}
@@ -159,7 +159,7 @@
   EXPECT_EQ(next->status, 0);
 }
 
-TEST(HttpServer, RequestIsRejectedWhereAllConnectionsAreInUse) {
+TEST(HttpServer, RequestIsRejectedIfAllConnectionsAreInUse) {
   PlatformFixture fixture(10);
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 800'000;
@@ -187,12 +187,12 @@
   fixture.run_for(4 * kSecond);
   EXPECT_EQ(second->status, 503);
   for (const auto& received : engine.received_requests)
-    EXPECT_NE(http::find(received.request.fields, "x-ticket"), make_request_id(2));
+    EXPECT_NE(http::field_value(received.request.fields, "x-ticket"), make_request_id(2));
   EXPECT_EQ(fixture.dispatcher().counters().rejected, 1u);
 }
 
-// More bytes than are buffered: reading pauses until responses have been sent.
-TEST(HttpServer, ManyPipelinedRequestsAreAllAnswered) {
+// The requests exceed the limit of buffered bytes, so reading pauses until responses have been sent.
+TEST(HttpServer, ManyPipelinedRequestsAllReceiveResponses) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 1'000;
@@ -209,7 +209,7 @@
   EXPECT_EQ(fixture.dispatcher().counters().served, static_cast<uint64_t>(kRequests));
 }
 
-TEST(HttpServer, OpenRequestIsAnsweredBeforeItsConnectionClosesForShutdown) {
+TEST(HttpServer, OpenRequestReceivesItsResponseBeforeItsConnectionClosesForShutdown) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 100'000;
@@ -233,10 +233,10 @@
   const auto after = fixture.send(health);
   fixture.run_for(100 * kMs);
   EXPECT_EQ(after->status, 503);
-  EXPECT_EQ(http::find(after->fields, "connection"), "close");
+  EXPECT_EQ(http::field_value(after->fields, "connection"), "close");
 }
 
-TEST(HttpServer, RequestIsRejectedWhereNoEngineIsReachable) {
+TEST(HttpServer, RequestIsRejectedIfNoEngineIsReachable) {
   PlatformFixture fixture;
   fixture.add_engine();
   fixture.publish_endpoints();
--- a/tests/platform/pages_test.cpp
+++ b/tests/platform/pages_test.cpp
@@ -1,4 +1,4 @@
-// Rows and load reports of engine responses.
+// Parsing of result pages and load reports in engine responses.
 #include "platform/pages.h"
 
 #include <gtest/gtest.h>
@@ -10,9 +10,9 @@
   EXPECT_EQ(platform::page_to_json_rows(""), "");
   EXPECT_EQ(platform::page_to_json_rows("a\t\t\n"), R"(["a","",""])");
   EXPECT_EQ(platform::page_to_json_rows("\xe2\x82\xac\t\x24\t\\\n"), "[\"\xe2\x82\xac\",\"$\",\"\\\\\"]");
-  for (const std::string wrong :
+  for (const std::string malformed :
        {"a\n", "a\tb\n", "a\tb\tc\td\n", "a\tb\tc", "a\tb\tc\n\n", "a\tb\t\xff\n", "a\tb\t\x01\n"})
-    EXPECT_EQ(platform::page_to_json_rows(wrong), std::nullopt) << wrong;
+    EXPECT_EQ(platform::page_to_json_rows(malformed), std::nullopt) << malformed;
   EXPECT_EQ(platform::page_to_json_rows(std::string(6'001, 'a')), std::nullopt);
 }
 
@@ -22,9 +22,9 @@
   EXPECT_EQ(report->in_flight, 7);
   EXPECT_EQ(report->cpu_utilization, 0.61);
   EXPECT_EQ(report->memory_utilization, 0.25);
-  for (const char* wrong :
+  for (const char* malformed :
        {"", ":", "inflight", "inflight:", "inflight:nan", "inflight:-1", "other:3", "inflight:1x"})
-    EXPECT_FALSE(platform::parse_load_report(wrong)) << wrong;
+    EXPECT_FALSE(platform::parse_load_report(malformed)) << malformed;
 }
 
 }  // namespace
--- a/tests/platform/platform_config.h
+++ b/tests/platform/platform_config.h
@@ -1,4 +1,4 @@
-// A configuration in the platform's form, with two endpoints and two service classes.
+// A configuration by the platform, with two endpoints and two workload classes.
 #pragma once
 
 namespace sablelink::test {
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -1,5 +1,5 @@
-// The platform side on a virtual clock and simulated streams: a gateway's HTTP server, request dispatcher and
-// engine client, with scripted engines and clients.
+// Fixture of a gateway's HTTP server, request dispatcher and engine client, with scripted engines and
+// clients, on a virtual clock and simulated streams.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,40 +26,40 @@
 
 namespace sablelink::test {
 
-/// A valid X-Request-Id, unique for each number.
+/// Returns a valid X-Request-Id, unique for each number.
 inline std::string make_request_id(int number) {
   char id[17];
   std::snprintf(id, sizeof(id), "%016x", number);
   return id;
 }
 
-/// Connects through the simulated network on behalf of one actor.
+/// Connects an actor through the simulated network.
 class SimulatedDialer : public rpc::Dialer {
  public:
   SimulatedDialer(sim::World& world, sim::Streams& streams, std::shared_ptr<sim::Actor> from)
-      : world_(world), streams_(streams), from_(std::move(from)) {}
+      : world_(world), streams_(streams), actor_(std::move(from)) {}
   boost::asio::any_io_executor executor() const override { return world_.executor(); }
   rpc::Awaitable<rpc::ConnectResult> connect(std::string address, TimeUs timeout_us) override {
-    return streams_.connect(from_, std::move(address), timeout_us);
+    return streams_.connect(actor_, std::move(address), timeout_us);
   }
 
  private:
   sim::World& world_;
   sim::Streams& streams_;
-  const std::shared_ptr<sim::Actor> from_;
+  const std::shared_ptr<sim::Actor> actor_;
 };
 
-/// What a scripted engine does with a request.
+/// A scripted engine's handling of a request.
 struct ScriptedResponse {
   std::string bytes;
   TimeUs delay_us = 0;
   bool closes_connection = false;  // after the bytes
-  bool is_withheld = false;        // no response is sent; the connection stays open
+  bool is_withheld = false;        // no response is sent, and the connection stays open
   std::string trailing_bytes{};    // sent 2 ms after the response
-  bool is_unread = false;          // the request is not recorded, as if it had been lost on its way
+  bool is_unread = false;          // the request is not recorded, as if it had been lost in transit
 };
 
-/// An engine that executes queries as the protocol says, unless its script answers a request in another way.
+/// An engine that follows the protocol unless its script returns another response to a request.
 class ScriptedEngine {
  public:
   struct ReceivedRequest {
@@ -81,7 +81,7 @@
   std::vector<ReceivedRequest> received_requests;
 
   const std::string& address() const { return address_; }
-  /// How many requests started with this method and target.
+  /// The number of requests whose method and target start with `prefix`.
   size_t request_count(std::string_view prefix) const {
     size_t n = 0;
     for (const ReceivedRequest& received : received_requests)
@@ -94,7 +94,7 @@
     return nullptr;
   }
   int connection_count() const { return connections_; }
-  /// The response with one page of the result; page 0 also reports the successful end of the query.
+  /// The response with one page of the result. Page 0 also reports the successful completion of the query.
   std::string page_response(size_t page) const {
     http::Fields fields = {{"Page-No", std::to_string(page)}};
     if (page == 0)
@@ -108,24 +108,26 @@
  private:
   ScriptedResponse protocol_response(const ReceivedRequest& received) {
     const std::string& target = received.request.target;
-    std::string id(http::find(received.request.fields, "x-ticket"));
-    std::string part = "0";
+    std::string ticket(http::field_value(received.request.fields, "x-ticket"));
+    std::string page = "0";
     if (received.request.method != "POST") {
       const size_t slash = target.rfind('/');
-      id = received.request.method == "GET" ? target.substr(6, slash - 6) : target.substr(6);
-      part = target.substr(slash + 1);
+      ticket = received.request.method == "GET" ? target.substr(6, slash - 6) : target.substr(6);
+      page = target.substr(slash + 1);
     }
-    if (received.request.method == "POST") completion_times_[id] = received.received_at + execution_time_us;
+    if (received.request.method == "POST")
+      completion_times_by_ticket_[ticket] = received.received_at + execution_time_us;
     if (received.request.method == "DELETE") {
-      completion_times_.erase(id);
+      completion_times_by_ticket_.erase(ticket);
       return {http::write_response(204, {}, "", true)};
     }
-    const auto it = completion_times_.find(id);
-    if (it == completion_times_.end()) return {http::write_response(500, {}, "", true)};
-    if (part != "0") return {page_response(std::stoul(part))};
+    const auto it = completion_times_by_ticket_.find(ticket);
+    if (it == completion_times_by_ticket_.end()) return {http::write_response(500, {}, "", true)};
+    if (page != "0") return {page_response(std::stoul(page))};
     const TimeUs remaining = it->second - received.received_at;
-    if (remaining <= kLongPollUs) return {page_response(0), std::max<TimeUs>(remaining, 0)};
-    return {http::write_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true), kLongPollUs};
+    if (remaining <= kLongPollTimeoutUs) return {page_response(0), std::max<TimeUs>(remaining, 0)};
+    return {http::write_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true),
+            kLongPollTimeoutUs};
   }
 
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream) {
@@ -145,7 +147,7 @@
     }
   }
 
-  // False once the connection has been closed.
+  // Returns false if the connection has been closed.
   rpc::Awaitable<bool> respond(rpc::ByteStream& stream, ReceivedRequest received) {
     received_requests.push_back(received);
     std::optional<ScriptedResponse> response = script ? script(received) : std::nullopt;
@@ -162,12 +164,12 @@
     co_return !response->closes_connection;
   }
 
-  static constexpr TimeUs kLongPollUs = 250'000;
+  static constexpr TimeUs kLongPollTimeoutUs = 250'000;
 
   sim::World& world_;
   const std::shared_ptr<sim::Actor> actor_;
   const std::string address_;
-  std::map<std::string, TimeUs> completion_times_;  // by ticket
+  std::map<std::string, TimeUs> completion_times_by_ticket_;
   int connections_ = 0;
 };
 
@@ -212,7 +214,7 @@
     http_server_.reset();
     engine_client_.reset();
     dispatcher_.reset();
-    while (world_.step()) continue;  // coroutines that still wait learn that their streams are closed
+    while (world_.step()) continue;  // lets waiting coroutines detect that their streams are closed
   }
 
   ScriptedEngine& add_engine() {
@@ -220,7 +222,7 @@
     engines_.push_back(std::make_unique<ScriptedEngine>(world_, streams_, address));
     return *engines_.back();
   }
-  /// Gives the gateway an endpoint list of all engines. Those without a state in `states` are ready.
+  /// Publishes an endpoint list of all engines to the gateway. Engines that are not in `states` are ready.
   void publish_endpoints(const std::map<std::string, EndpointState>& states = {}) {
     std::vector<config::EngineConfig> list;
     for (const auto& engine : engines_) {
@@ -240,7 +242,7 @@
     return 0;
   }
 
-  /// The bytes of a client's request.
+  /// Returns the bytes of a client's request.
   static std::string make_query(const std::string& id,
                                 const std::string& statement = "SELECT 1 FROM sales_17.orders",
                                 const std::string& class_name = "lookup",
@@ -252,13 +254,13 @@
   }
 
   struct ClientResponse {
-    int status = -1;  // 0: the connection ended first; -1: nothing came in time
+    int status = -1;  // 0: the connection ended first; -1: no response in time
     http::Fields fields;
     std::string body;
     TimeUs elapsed_us = 0;
   };
-  /// Sends the bytes on a connection of their own and reads `response_count` responses, of which the last one
-  /// is returned. The client disconnects after `timeout_us`.
+  /// Sends the bytes on a new connection, reads `response_count` responses and returns the last one. The
+  /// client disconnects after `timeout_us`.
   std::shared_ptr<ClientResponse> send(std::string bytes, TimeUs timeout_us = 20'000'000,
                                        int response_count = 1) {
     auto out = std::make_shared<ClientResponse>();
--- a/tests/platform/settings_lines_test.cpp
+++ b/tests/platform/settings_lines_test.cpp
@@ -1,4 +1,4 @@
-// The platform's settings as lines.
+// Conversion of the platform's settings to lines.
 #include "platform/settings_lines.h"
 
 #include <gtest/gtest.h>
--- a/tests/platform/shutdown_schedule_test.cpp
+++ b/tests/platform/shutdown_schedule_test.cpp
@@ -1,4 +1,4 @@
-// Times of a graceful shutdown.
+// Schedule of a graceful shutdown.
 #include "platform/shutdown_schedule.h"
 
 #include <gtest/gtest.h>
@@ -8,17 +8,17 @@
 namespace sablelink::test {
 namespace {
 
-// The platform kills at the longest request timeout, counted as 3 s at most, plus 0.7 s.
+// The platform kills the process after the longest request timeout, limited to 3 s, plus 0.7 s.
 TEST(ShutdownSchedule, EndsBeforeTheKillForEveryRequestTimeout) {
   for (const TimeUs timeout : {300 * kMs, 900 * kMs, 2500 * kMs, 3 * kSecond, 40 * kSecond}) {
     Settings settings = plain_settings();
     for (ClassSettings& cls : settings.classes) cls.request_timeout_us = timeout;
     const auto schedule = platform::ShutdownSchedule::from_settings(settings);
-    const TimeUs kill = std::min(timeout, 3 * kSecond) + 700 * kMs;
+    const TimeUs kill_time = std::min(timeout, 3 * kSecond) + 700 * kMs;
     EXPECT_GE(schedule.stop_accepting, 600 * kMs) << timeout;
     EXPECT_LE(schedule.stop_accepting, schedule.cancel_in_flight) << timeout;
     EXPECT_LT(schedule.cancel_in_flight + 200 * kMs, schedule.exit) << timeout;
-    EXPECT_LT(schedule.exit + 100 * kMs, kill) << timeout;
+    EXPECT_LT(schedule.exit + 100 * kMs, kill_time) << timeout;
   }
 }
 
