--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -14,8 +14,8 @@
 namespace sablelink::platform {
 namespace {
 
-// Timeout of a call, in addition to the long-poll timeout of a start or a poll. A shorter timeout spends more
-// connections on repeated calls; a longer one delays the client's response.
+// Timeout of a call, in addition to the long-poll timeout of a start or a poll. With a shorter timeout,
+// repeated calls use up more connections; a longer one delays the client's response.
 constexpr TimeUs kCallTimeoutUs = 120'000;
 constexpr TimeUs kMinDialBackoffUs = 25'000;
 constexpr TimeUs kMaxDialBackoffUs = 200'000;
@@ -60,7 +60,7 @@
   std::list<ConnectionPtr> connections;
   size_t dials_in_progress = 0;
   TimeUs dial_backoff_us = 0;             // delay after the last dial if it failed, otherwise 0
-  bool reset_since_last_success = false;  // since the last successful dial or the last response
+  bool reset_since_last_success = false;  // a connection was reset since the last successful dial or response
   TimeUs next_dispatch_at = 0;            // 0: none is scheduled
 
   bool is_unused() const {
--- a/src/platform/engine_client/connection_pool.h
+++ b/src/platform/engine_client/connection_pool.h
@@ -21,7 +21,7 @@
 
 /// Reason why a call ended without a response.
 enum class CallFailure {
-  kNotSent,      // the engine is not ready for new attempts or cannot be connected to
+  kNotSent,      // the engine is not ready for new attempts, or no connection could be established
   kInterrupted,  // the connection was lost: whether the engine executed the call is unknown
   kEngineDown,   // the engine process has ended, and all its attempts with it
 };
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -61,7 +61,7 @@
   dispatcher_->on_attempt_completed(attempt->id(), attempt->result(outcome));
 }
 
-// Removes the attempt, which is not reported to the dispatcher afterwards.
+// Removes the attempt. Nothing is reported to the dispatcher for it afterwards.
 void EngineClient::remove_attempt(const AttemptPtr& attempt) {
   attempt->finish();
   attempts_.erase({attempt->id().request, attempt->id().number});
@@ -69,6 +69,7 @@
   orphans_.remove_delayed(attempt);
 }
 
+// Adds the attempt to the orphaned attempts and cancels it on its engine.
 void EngineClient::orphan(const AttemptPtr& attempt) {
   orphans_.add(attempt);
   const TimeUs delay = attempt->earliest_cancel_at() - clock_.now();
--- a/src/platform/engine_client/engine_protocol.cpp
+++ b/src/platform/engine_client/engine_protocol.cpp
@@ -91,7 +91,7 @@
       parse_complete_response(response, out);
       break;
     case 503:
-    case 504:  // with X-Shed the attempt was not executed, unlike an attempt that timed out
+    case 504:  // with X-Shed, the attempt was not executed; a timeout would leave that open
       if (load_shed) out.status = PollResponse::Status::kOverloaded;
       break;
     case 500:
--- a/src/platform/http_connection.h
+++ b/src/platform/http_connection.h
@@ -90,7 +90,8 @@
   http::RequestReader reader_;
   http::ParseStatus parse_status_ = http::ParseStatus::kNeedMore;
   Stage stage_ = Stage::kReadingRequest;
-  TimeUs stage_started_at_;  // in kReadingRequest: arrival of the request's first byte
+  TimeUs stage_started_at_;  // in kReadingRequest: start of the connection or arrival of the request's first
+                             // byte
   uint64_t request_count_ = 0;
   size_t ignored_bytes_ = 0;  // received after the half-close
   ArrivalTimes arrival_times_;
--- a/src/platform/watch_event.h
+++ b/src/platform/watch_event.h
@@ -1,4 +1,4 @@
-// Events of the platform's change log, from which a gateway watches the list of endpoints.
+// Events of the platform's change log, which reports changes of the endpoint list.
 #pragma once
 
 #include <boost/json/fwd.hpp>
--- a/tests/http/reader_test.cpp
+++ b/tests/http/reader_test.cpp
@@ -136,27 +136,27 @@
 }
 
 TEST(HttpReader, ResponseAfterInterimResponsesEndsByLengthOrClose) {
-  const auto read = [](const std::string& bytes, bool ends, size_t piece_size) {
+  const auto read = [](const std::string& bytes, bool connection_ends, size_t piece_size) {
     ResponseReader reader{MessageLimits{}};
     ParseStatus status = ParseStatus::kNeedMore;
     for (size_t at = 0; at < bytes.size(); at += piece_size)
       status = reader.feed(std::string_view(bytes).substr(at, piece_size));
-    if (ends) status = reader.finish();
+    if (connection_ends) status = reader.finish();
     return std::make_pair(status, reader.take());
   };
   for (const size_t piece_size : {size_t{1}, size_t{3}, size_t{1000}}) {
-    const auto [a, sized] =
+    const auto [sized_status, sized] =
         read("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nPage-Count: 2\r\nContent-Length: 3\r\n\r\nabc",
              false, piece_size);
-    ASSERT_EQ(a, ParseStatus::kComplete);
+    ASSERT_EQ(sized_status, ParseStatus::kComplete);
     EXPECT_EQ(sized.status, 200);
     EXPECT_EQ(field_value(sized.fields, "page-count"), "2");
     EXPECT_EQ(sized.body, "abc");
     EXPECT_EQ(read("HTTP/1.1 204 No Content\r\n\r\n", false, piece_size).first, ParseStatus::kComplete);
-    const auto [b, open] = read("HTTP/1.1 200 OK\r\n\r\nabc", true, piece_size);
-    ASSERT_EQ(b, ParseStatus::kComplete);
-    EXPECT_EQ(open.body, "abc");
-    EXPECT_FALSE(open.keep_alive);
+    const auto [unsized_status, unsized] = read("HTTP/1.1 200 OK\r\n\r\nabc", true, piece_size);
+    ASSERT_EQ(unsized_status, ParseStatus::kComplete);
+    EXPECT_EQ(unsized.body, "abc");
+    EXPECT_FALSE(unsized.keep_alive);
     EXPECT_EQ(read("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc", true, piece_size).first,
               ParseStatus::kMalformed);
     EXPECT_EQ(read("HTTP/1.1 2OO OK\r\n\r\n", false, piece_size).first, ParseStatus::kMalformed);
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -94,13 +94,13 @@
 }
 
 // Hundreds of clients that connect and send nothing do not prevent the admission of others.
-TEST(HttpServer, SilentConnectionsAreEvictedForNewOnes) {
+TEST(HttpServer, ConnectionsWithoutARequestAreEvictedForNewOnes) {
   PlatformFixture fixture(10);
   fixture.add_engine();
   fixture.publish_endpoints();
-  std::vector<std::shared_ptr<ClientResponse>> silent;
+  std::vector<std::shared_ptr<ClientResponse>> idle_clients;
   for (int i = 0; i < 200; ++i) {
-    silent.push_back(fixture.send(""));
+    idle_clients.push_back(fixture.send(""));
     fixture.run_for(2 * kMs);
   }
   EXPECT_LE(fixture.http_server().connection_count(), 10u);
@@ -108,13 +108,13 @@
   fixture.run_for(kSecond);
   EXPECT_EQ(response->status, 200);
   fixture.run_for(5 * kSecond);
-  for (const auto& closed : silent) EXPECT_GE(closed->status, 0);
+  for (const auto& closed : idle_clients) EXPECT_GE(closed->status, 0);
 }
 
 // Each check is a system call. A new connection causes at most one, regardless of the number of idle ones.
 TEST(HttpServer, EvictionChecksFewConnectionsForUnreadBytes) {
-  struct SilentStream : rpc::ByteStream {
-    explicit SilentStream(int* check_count) : readable_checks(check_count) {}
+  struct IdleStream : rpc::ByteStream {
+    explicit IdleStream(int* check_count) : readable_checks(check_count) {}
     rpc::Awaitable<std::optional<std::string>> read(size_t) override {
       co_await closed.wait();
       co_return std::nullopt;
@@ -131,9 +131,9 @@
   int readable_checks = 0;
   PlatformFixture fixture(100);
   constexpr int kConnections = 300;
-  std::vector<std::shared_ptr<SilentStream>> streams;
+  std::vector<std::shared_ptr<IdleStream>> streams;
   for (int i = 0; i < kConnections; ++i) {
-    streams.push_back(std::make_shared<SilentStream>(&readable_checks));
+    streams.push_back(std::make_shared<IdleStream>(&readable_checks));
     boost::asio::co_spawn(fixture.world().executor(), fixture.http_server().serve(streams.back()),
                           boost::asio::detached);
     fixture.run_for(kMs);
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -93,7 +93,7 @@
       if (received.method_and_target().starts_with(prefix)) return &received;
     return nullptr;
   }
-  int connection_count() const { return connections_; }
+  int connection_count() const { return connection_count_; }
   /// The response with one page of the result. Page 0 also reports the successful completion of the query.
   std::string page_response(size_t page) const {
     http::Fields fields = {{"Page-No", std::to_string(page)}};
@@ -131,7 +131,7 @@
   }
 
   rpc::Awaitable<void> serve(std::shared_ptr<rpc::ByteStream> stream) {
-    const int number = ++connections_;
+    const int connection_number = ++connection_count_;
     http::RequestReader reader{http::MessageLimits{}};
     for (;;) {
       const std::optional<std::string> bytes = co_await stream->read(4096);
@@ -140,7 +140,7 @@
         EXPECT_EQ(state, http::ParseStatus::kComplete)
             << "an engine received a malformed request: " << reader.error();
         if (state == http::ParseStatus::kMalformed) co_return;
-        ReceivedRequest received{world_.now(), number, reader.take()};
+        ReceivedRequest received{world_.now(), connection_number, reader.take()};
         const bool stays_open = co_await respond(*stream, std::move(received));
         if (!stays_open) co_return;
       }
@@ -170,7 +170,7 @@
   const std::shared_ptr<sim::Actor> actor_;
   const std::string address_;
   std::map<std::string, TimeUs> completion_times_by_ticket_;
-  int connections_ = 0;
+  int connection_count_ = 0;
 };
 
 /// Counts log records by event.
