--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -1,4 +1,4 @@
-// Clients of the platform on a virtual clock: malformed requests, limits, slow clients, shutdown.
+// HTTP server with a virtual clock: invalid requests, limits, slow clients, shutdown.
 #include <gtest/gtest.h>
 
 #include "tests/platform/platform_harness.h"
@@ -87,20 +87,20 @@
   EXPECT_EQ(first->status, 200);
   EXPECT_EQ(second->status, 409);
   EXPECT_EQ(engine.request_count("POST"), 1u);
-  // After its response the id can be used again.
+  // After the response to its request, the id can be used again.
   const auto third = fixture.send(PlatformFixture::make_query(make_request_id(1)));
   fixture.run_for(2 * kSecond);
   EXPECT_EQ(third->status, 200);
 }
 
-// Hundreds of clients that connect and send nothing don't keep others out.
-TEST(HttpServer, SilentConnectionsAreEvictedForNewOnes) {
+// Hundreds of clients that connect and send nothing do not prevent the admission of others.
+TEST(HttpServer, ConnectionsWithoutARequestAreEvictedForNewOnes) {
   PlatformFixture fixture(10);
   fixture.add_engine();
   fixture.publish_endpoints();
-  std::vector<std::shared_ptr<ClientResponse>> silent;
+  std::vector<std::shared_ptr<ClientResponse>> idle_clients;
   for (int i = 0; i < 200; ++i) {
-    silent.push_back(fixture.send(""));
+    idle_clients.push_back(fixture.send(""));
     fixture.run_for(2 * kMs);
   }
   EXPECT_LE(fixture.http_server().connection_count(), 10u);
@@ -108,13 +108,13 @@
   fixture.run_for(kSecond);
   EXPECT_EQ(response->status, 200);
   fixture.run_for(5 * kSecond);
-  for (const auto& closed : silent) EXPECT_GE(closed->status, 0);
+  for (const auto& closed : idle_clients) EXPECT_GE(closed->status, 0);
 }
 
-// Each check is a system call: a new connection costs at most one of them, however many are idle.
+// Each check is a system call. A new connection causes at most one, regardless of the number of idle ones.
 TEST(HttpServer, EvictionChecksFewConnectionsForUnreadBytes) {
-  struct SilentStream : rpc::ByteStream {
-    explicit SilentStream(int* check_count) : readable_checks(check_count) {}
+  struct IdleStream : rpc::ByteStream {
+    explicit IdleStream(int* check_count) : readable_checks(check_count) {}
     rpc::Awaitable<std::optional<std::string>> read(size_t) override {
       co_await closed.wait();
       co_return std::nullopt;
@@ -131,9 +131,9 @@
   int readable_checks = 0;
   PlatformFixture fixture(100);
   constexpr int kConnections = 300;
-  std::vector<std::shared_ptr<SilentStream>> streams;
+  std::vector<std::shared_ptr<IdleStream>> streams;
   for (int i = 0; i < kConnections; ++i) {
-    streams.push_back(std::make_shared<SilentStream>(&readable_checks));
+    streams.push_back(std::make_shared<IdleStream>(&readable_checks));
     boost::asio::co_spawn(fixture.world().executor(), fixture.http_server().serve(streams.back()),
                           boost::asio::detached);
     fixture.run_for(kMs);
@@ -159,7 +159,7 @@
   EXPECT_EQ(next->status, 0);
 }
 
-TEST(HttpServer, RequestIsRejectedWhereAllConnectionsAreInUse) {
+TEST(HttpServer, RequestIsRejectedIfAllConnectionsAreInUse) {
   PlatformFixture fixture(10);
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 800'000;
@@ -187,12 +187,12 @@
   fixture.run_for(4 * kSecond);
   EXPECT_EQ(second->status, 503);
   for (const auto& received : engine.received_requests)
-    EXPECT_NE(http::find(received.request.fields, "x-ticket"), make_request_id(2));
+    EXPECT_NE(http::field_value(received.request.fields, "x-ticket"), make_request_id(2));
   EXPECT_EQ(fixture.dispatcher().counters().rejected, 1u);
 }
 
-// More bytes than are buffered: reading pauses until responses have been sent.
-TEST(HttpServer, ManyPipelinedRequestsAreAllAnswered) {
+// The requests exceed the limit of buffered bytes, so reading pauses until responses have been sent.
+TEST(HttpServer, ManyPipelinedRequestsAllReceiveResponses) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 1'000;
@@ -209,7 +209,7 @@
   EXPECT_EQ(fixture.dispatcher().counters().served, static_cast<uint64_t>(kRequests));
 }
 
-TEST(HttpServer, OpenRequestIsAnsweredBeforeItsConnectionClosesForShutdown) {
+TEST(HttpServer, OpenRequestReceivesItsResponseBeforeItsConnectionClosesForShutdown) {
   PlatformFixture fixture;
   ScriptedEngine& engine = fixture.add_engine();
   engine.execution_time_us = 100'000;
@@ -233,10 +233,10 @@
   const auto after = fixture.send(health);
   fixture.run_for(100 * kMs);
   EXPECT_EQ(after->status, 503);
-  EXPECT_EQ(http::find(after->fields, "connection"), "close");
+  EXPECT_EQ(http::field_value(after->fields, "connection"), "close");
 }
 
-TEST(HttpServer, RequestIsRejectedWhereNoEngineIsReachable) {
+TEST(HttpServer, RequestIsRejectedIfNoEngineIsReachable) {
   PlatformFixture fixture;
   fixture.add_engine();
   fixture.publish_endpoints();
