--- a/src/base/ascii.h
+++ b/src/base/ascii.h
@@ -6,8 +6,8 @@
 
 namespace sablelink {
 
-/// A copy with the letters A to Z in lower case. Other bytes, those of UTF-8 among them, are kept as they
-/// are.
+/// Returns a copy with the letters A to Z in lower case. Other bytes, including those of UTF-8 sequences, are
+/// unchanged.
 inline std::string ascii_to_lower(std::string_view text) {
   std::string lower(text);
   for (char& c : lower)
--- a/src/base/async_event.h
+++ b/src/base/async_event.h
@@ -1,5 +1,5 @@
-// Primitives with which coroutines on one strand wait for an event, a result or a time. None is thread-safe:
-// an object, its waiter and those who complete it belong to one strand.
+// Primitives with which coroutines wait for an event, a result or a duration. Not thread-safe: an object, the
+// coroutine that waits for it and the code that sets it must run on the same strand.
 #pragma once
 
 #include <boost/asio/associated_executor.hpp>
@@ -14,8 +14,8 @@
 
 namespace sablelink {
 
-/// Auto-reset event: each set() resumes one wait(), and a set() without a waiter is kept for the next one.
-/// Destroying the event destroys the coroutine that waits for it.
+/// Auto-reset event: each set() resumes one wait(); without a waiting coroutine, the next wait() returns
+/// immediately. Destroying the event destroys the coroutine that waits for it.
 class AsyncEvent {
  public:
   /// Returns once the event is set, and resets it. At most one coroutine may wait at a time.
@@ -57,8 +57,8 @@
   bool is_set_ = false;
 };
 
-/// The first of several competing results of one operation, for example of a connection attempt and its
-/// timeout. Results after the first are ignored.
+/// The first of several competing results of an operation, for example of a connection attempt and its
+/// timeout. Later results are ignored.
 class FirstResult {
  public:
   void set(bool succeeded) {
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,5 +1,5 @@
-// Time and timers as the program sees them. Only the program's main function binds them to the system's
-// clocks; tests and the simulation use virtual ones.
+// Interfaces for time and timers. Only the program's main function connects them to the system's clocks;
+// tests and the simulation use virtual clocks.
 #pragma once
 
 #include <chrono>
@@ -18,7 +18,7 @@
  public:
   virtual ~Clock() = default;
 
-  /// The current moment in microseconds. Never decreases and is never 0, which callers may use for "none".
+  /// The current time in microseconds. Never decreases and is never 0, which callers may use for "none".
   virtual TimeUs now() const = 0;
 
   /// Calls the callback once on the clock's strand, no sooner than the delay in microseconds, and never
--- a/src/base/json.h
+++ b/src/base/json.h
@@ -1,4 +1,4 @@
-// Escaping of text inside JSON strings, for programs' output and log records. JSON is parsed by a library.
+// Escaping of JSON strings for command output and log records. JSON is parsed by a library.
 #pragma once
 
 #include <cstdio>
@@ -7,8 +7,8 @@
 
 namespace sablelink {
 
-/// The text with quotation marks, backslashes and control characters escaped, without enclosing quotation
-/// marks. Bytes from 0x80 on are kept, so valid UTF-8 stays valid.
+/// Returns the text with quotation marks, backslashes and control characters escaped, without enclosing
+/// quotation marks. Bytes from 0x80 on are unchanged, so valid UTF-8 stays valid.
 inline std::string json_escaped(std::string_view text) {
   std::string escaped;
   for (const char c : text) {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,5 +1,5 @@
-// Structured logging for modules that do no I/O of their own. Format and destination of the records are up to
-// the process that embeds them.
+// Structured logging for modules that perform no I/O themselves. The process that embeds them determines the
+// format and destination of the records.
 #pragma once
 
 #include <initializer_list>
@@ -18,10 +18,11 @@
 class Log {
  public:
   virtual ~Log() = default;
-  /// Writes one record. The event is a constant name that operators can search for; what varies is in the
-  /// fields.
+  /// Writes one record. The event is a constant name that operators can search for; variable data belongs in
+  /// the fields.
   virtual void write(LogLevel level, std::string_view event, LogFields fields) = 0;
-  /// Whether records of this level are written. Lets callers skip the making of fields that nobody would see.
+  /// Whether records of this level are written. Lets callers avoid the cost of fields that would be
+  /// discarded.
   virtual bool is_enabled(LogLevel level) const = 0;
 
   void info(std::string_view event, LogFields fields = {}) { write(LogLevel::kInfo, event, fields); }
--- a/src/base/timer_heap.h
+++ b/src/base/timer_heap.h
@@ -1,4 +1,4 @@
-// A priority queue of callbacks by deadline, from which event loops are made. Not thread-safe.
+// Priority queue of callbacks by deadline, for use in event loops. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 
 namespace sablelink {
 
-/// Callbacks in the order of their deadlines; those of equal deadlines in the order of their insertion.
+/// Callbacks ordered by deadline; callbacks with equal deadlines are ordered by insertion.
 class TimerHeap {
  public:
-  /// The deadline is a moment in microseconds, on whatever clock the caller uses throughout.
+  /// The deadline is in microseconds; all deadlines in a heap must be on the same clock.
   void push(TimeUs deadline, std::function<void()> callback) {
     timers_.push_back({deadline, next_sequence_++, std::move(callback)});
     std::push_heap(timers_.begin(), timers_.end());
@@ -31,8 +31,8 @@
     timers_.pop_back();
     return callback;
   }
-  /// Runs the callbacks whose deadlines are at or before the given moment. It isn't read anew meanwhile, so
-  /// that callbacks which add others can't keep an event loop from polling its sockets.
+  /// Runs the callbacks whose deadlines are at or before the given time. The clock isn't read again
+  /// meanwhile, so callbacks that add further ones can't keep an event loop from polling its sockets.
   void run_due(TimeUs now) {
     while (!empty() && next_deadline() <= now) {
       const std::function<void()> callback = pop();
--- a/src/base/weak_ptr.h
+++ b/src/base/weak_ptr.h
@@ -30,8 +30,8 @@
   std::shared_ptr<T*> object_;
 };
 
-/// Makes weak pointers to its owner. Must be the owner's last member, so that it is destroyed first; an owner
-/// whose destructor does more calls invalidate() as the destructor's first statement.
+/// Creates weak pointers to its owner. Must be the owner's last member, so that it is destroyed first. If the
+/// owner's destructor has a body, its first statement must be a call of invalidate().
 template <typename T>
 class WeakPtrFactory {
  public:
@@ -41,7 +41,7 @@
   ~WeakPtrFactory() { invalidate(); }
 
   WeakPtr<T> get_weak_ptr() const { return WeakPtr<T>(object_); }
-  /// Empties every weak pointer made so far and from now on.
+  /// Empties all weak pointers, both those already created and those created later.
   void invalidate() { *object_ = nullptr; }
 
  private:
--- a/src/dispatch/attempt.h
+++ b/src/dispatch/attempt.h
@@ -1,4 +1,4 @@
-// One attempt of a request at an engine: what is sent, and how it ended.
+// An attempt to execute a request on an engine: what is sent, and the result.
 #pragma once
 
 #include <functional>
@@ -20,29 +20,29 @@
 
 enum class ExecutionKind {
   kQuery,   // returns rows
-  kUpdate,  // changes data and returns the number of rows that changed
-  kPlan,    // isn't executed: returns the columns of its result and of its parameters, as one message
+  kUpdate,  // changes data and returns the number of changed rows
+  kPlan,    // isn't executed; returns the columns of the result and of the parameters, as one message
 };
 
-/// What a client asks an engine to execute. Immutable and shared by all attempts of the request.
+/// A client's statement. Immutable and shared by all attempts of the request.
 struct Statement {
   std::string text;
   ExecutionKind kind = ExecutionKind::kQuery;
-  std::string client_tag;       // the client's own name for the request, forwarded to engines; may be empty
-  std::string idempotency_key;  // by which engines drop duplicates, forwarded unchanged; may be empty
-  std::string ordering_key;     // names what is to be executed in order, forwarded unchanged; may be empty
+  std::string client_tag;       // the client's label for the request; forwarded to engines; may be empty
+  std::string idempotency_key;  // lets engines detect duplicates; forwarded unchanged; may be empty
+  std::string ordering_key;     // equal keys are executed in order; forwarded unchanged; may be empty
 };
 
-/// What the engine transport needs to execute one attempt.
+/// Parameters of an attempt that the engine transport needs.
 struct AttemptSpec {
   std::shared_ptr<const Statement> statement;
   int class_index = 0;
   int priority = 1;
   double memory_grant_mb = 0;  // 0: the engine decides
-  TimeUs remaining_us = 0;     // time left for the attempt when it was handed to the transport
-  /// Whether the reasons for the attempt still hold. A transport that has delayed the attempt calls it right
-  /// before the first byte is sent; if false, it completes the attempt as kSuperseded instead. Empty: they
-  /// hold.
+  TimeUs remaining_us = 0;     // time until the attempt's deadline, at the call of EngineTransport::start()
+  /// Returns whether the attempt should still be sent. A transport that has delayed the attempt calls this
+  /// right before it sends the first byte and, on false, completes the attempt as kSuperseded instead. May be
+  /// empty; the attempt is then always sent.
   std::function<bool()> still_valid;
 };
 
@@ -52,15 +52,15 @@
   std::string message;
 };
 
-/// How an attempt ended. Measurements are those that the engine reported with its response.
+/// Result of an attempt. The engine reports the measurements with its response.
 struct AttemptResult {
   Outcome outcome = Outcome::kOk;
-  std::optional<double> work_us;  // of all threads, as time on one
+  std::optional<double> work_us;  // total over all threads, as time on a single thread
   std::optional<double> memory_used_mb;
   std::optional<LoadReport> load_report;
-  EngineError error;                // unless the outcome is kOk
+  EngineError error;                // set unless the outcome is kOk
   bool engine_responsive = false;   // with kReset: the engine has since responded on another connection
-  bool is_statement_error = false;  // the statement is at fault: every engine would return this error
+  bool is_statement_error = false;  // the statement is invalid: every engine would return this error
 };
 
 }  // namespace sablelink::dispatch
--- a/src/dispatch/dispatch_log.h
+++ b/src/dispatch/dispatch_log.h
@@ -12,23 +12,23 @@
 
 namespace sablelink::dispatch {
 
-/// Writes each event by the name under which operators search for it, as listed in docs/operating.md. The log
-/// must outlive it.
+/// Writes the dispatcher's log events. Operators search for their names, which docs/operating.md lists. The
+/// log must outlive this object.
 class DispatchLog {
  public:
   explicit DispatchLog(Log& log) : log_(log) {}
 
-  // Level debug: the life of each request.
+  // Level debug: the lifecycle of each request.
   void request_accepted(RequestId id, const TrackedRequest& request, TimeUs remaining_us) const;
   void attempt_sent(AttemptId id, EngineId engine, TimeUs timeout_us) const;
   void attempt_completed(AttemptId id, Outcome outcome, TimeUs duration_us) const;
   void request_completed(RequestId id, const FinalResponse& response, TimeUs remaining_us) const;
 
-  /// Level info: a line of the workload manager.
+  /// Level info: a line that the workload manager logs about its decisions.
   void decision(std::string_view line) const;
-  /// Level warning: a timer was late.
+  /// Level warning: a timer fired late, by the given delay.
   void stalled(TimeUs delay_us, size_t open_requests) const;
-  /// Level error: a send was refused, for a duplicate attempt or an unknown request.
+  /// Level error: an attempt was not sent because it is a duplicate or its request is unknown.
   void send_blocked(RequestId id, bool is_duplicate) const;
 
  private:
--- a/src/dispatch/endpoint_source.h
+++ b/src/dispatch/endpoint_source.h
@@ -3,12 +3,12 @@
 
 namespace sablelink::dispatch {
 
-/// Delivers endpoint lists by RequestDispatcher::on_endpoints_changed, on the dispatcher's strand and never
-/// within a call of this interface.
+/// Delivers endpoint lists to RequestDispatcher::on_endpoints_changed, on the dispatcher's strand and never
+/// from within a method of this interface.
 class EndpointSource {
  public:
   virtual ~EndpointSource() = default;
-  /// Starts or stops the delivery of every change. Starting delivers the current list first.
+  /// Starts or stops watching. A watch delivers the current list first, then every change.
   virtual void watch(bool enabled) = 0;
   /// Delivers the current list once.
   virtual void fetch() = 0;
--- a/src/dispatch/engine_transport.h
+++ b/src/dispatch/engine_transport.h
@@ -1,4 +1,4 @@
-// Interface through which the dispatcher reaches the engines.
+// Interface through which the dispatcher communicates with engines.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,21 @@
 
 /// Sends attempts and health checks to engines. Belongs to the dispatcher's strand.
 ///
-/// Results are delivered by RequestDispatcher's on_attempt_ and on_health_check_ methods, never within a call
-/// of this interface, and errors are results too: no method throws. Nothing is delivered of an attempt once
-/// it has completed or was cancelled.
+/// Results are delivered to the on_attempt_* and on_health_check_* methods of RequestDispatcher, never from
+/// within a method of this interface. Errors are delivered as results; no method throws. Nothing is delivered
+/// for an attempt that has completed or been cancelled.
 class EngineTransport {
  public:
   virtual ~EngineTransport() = default;
-  /// Starts an attempt. It ends by on_attempt_completed, once, or by cancel().
+  /// Starts an attempt. It ends with one call of on_attempt_completed or with cancel().
   virtual void start(AttemptId attempt, EngineId engine, const AttemptSpec& spec) = 0;
-  /// Ends an attempt and asks the engine to stop it. Unknown attempts are ignored.
+  /// Cancels an attempt and requests the engine to stop executing it. Ignores unknown attempts.
   virtual void cancel(AttemptId attempt) = 0;
-  /// Continues to read a response after RequestDispatcher::on_attempt_message has returned false.
+  /// Resumes reading a response after RequestDispatcher::on_attempt_message has returned false.
   virtual void resume(AttemptId attempt) = 0;
-  /// Asks an engine for its health; the result may be a load report, an error or never come.
+  /// Sends a health check to an engine. The result is a load report or an error; it may never arrive.
   virtual void check_health(HealthCheckId check, EngineId engine) = 0;
-  /// Closes the connections to an engine on which no attempt is in flight.
+  /// Closes the connections to an engine that have no attempt in flight.
   virtual void close_idle_connections(EngineId engine) = 0;
 };
 
--- a/src/dispatch/event_clock.h
+++ b/src/dispatch/event_clock.h
@@ -1,4 +1,4 @@
-// The time at which the dispatcher handles an event.
+// Time of the event that the dispatcher is handling.
 #pragma once
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 namespace sablelink::dispatch {
 
-/// Keeps the time of the event that is being handled, so that one event sees one time. It never decreases,
-/// whatever the underlying clock does. The clock must outlive it.
+/// Caches the start time of the current event, so that the whole event is handled at one time. The time never
+/// decreases, even if the underlying clock does. The clock must outlive this object.
 class EventClock {
  public:
   explicit EventClock(Clock& clock) : clock_(clock) {}
 
-  /// Reads the underlying clock, at the start of an event. In microseconds.
+  /// Reads the underlying clock, in microseconds. To be called at the start of each event.
   TimeUs update() {
     now_ = std::max(now_, clock_.now());
     return now_;
--- a/src/dispatch/health_check_table.h
+++ b/src/dispatch/health_check_table.h
@@ -12,7 +12,7 @@
 
 struct HealthCheck {
   EngineId engine = 0;
-  TimeUs started_at = 0;  // a moment in microseconds
+  TimeUs started_at = 0;  // in microseconds, on the dispatcher's clock
 };
 
 class HealthCheckTable {
@@ -22,7 +22,7 @@
     checks_[id] = {engine, now};
     return id;
   }
-  /// Removes and returns a check; empty if it has completed already.
+  /// Removes and returns a health check; nullopt if it has already completed.
   std::optional<HealthCheck> remove(HealthCheckId id) {
     const auto it = checks_.find(id);
     if (it == checks_.end()) return std::nullopt;
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -6,7 +6,7 @@
 namespace sablelink::dispatch {
 namespace {
 
-constexpr TimeUs kStallThresholdUs = 20'000;  // a timer that is late by this much is logged
+constexpr TimeUs kStallThresholdUs = 20'000;  // a timer that is at least this late is logged as a stall
 
 ResponseBufferLimits buffer_limits(const DispatcherLimits& limits) {
   return {limits.response_buffer_bytes, limits.total_buffer_bytes, limits.stream_window_bytes};
@@ -22,7 +22,8 @@
   return {deadline, TimeoutKind::kHealthCheck, id, 0};
 }
 
-// Whether another attempt would run beside one that is in flight although hedging isn't allowed.
+// Whether another attempt of the request would run concurrently with one in flight although hedging isn't
+// allowed.
 bool would_duplicate(const TrackedRequest& request, bool hedging_allowed) {
   return !request.attempts.empty() && !hedging_allowed;
 }
@@ -53,10 +54,10 @@
   notify([&] { manager_.on_endpoints_changed(clock_.now(), kind, endpoints, *this); });
 }
 
-// ---- Events of the workload manager
+// ---- Notifications of the workload manager
 
-// Every event of the workload manager passes here. It must not be called back within an event, so completions
-// that its decisions cause are delivered after it has returned.
+// Notifies the workload manager of an event. The manager isn't reentrant, so completions that its decisions
+// cause are delivered after it has handled the event.
 template <typename Event>
 void RequestDispatcher::notify(Event&& event) {
   clock_.update();
@@ -74,7 +75,7 @@
       complete_attempt(deferred.attempt, result);
       continue;
     }
-    // The attempt was never sent, so it is in no table.
+    // The attempt was never sent, so the request table has no entry for it.
     const TrackedRequest* const request = requests_.find(deferred.attempt.request);
     AttemptCompletion completion;
     completion.id = deferred.attempt.request;
@@ -99,7 +100,8 @@
     reject_at_submit(*sink, *reason);
     return 0;
   }
-  // Unconsumed bytes are counted by id and may outlive their request.
+  // Unconsumed bytes are counted by id even after their request has been erased; its id isn't reused until
+  // they are consumed.
   query.id = requests_.next_id([this](RequestId id) { return buffers_.has_unconsumed(id); });
   TrackedRequest& request = requests_.add(query.id, std::move(sink));
   request.statement = std::move(statement);
@@ -141,7 +143,7 @@
   erase_if_done(id);
 }
 
-// The workload manager cancels attempts itself, except those whose responses are streamed.
+// Cancels the attempts whose responses are streamed. The workload manager cancels the others itself.
 void RequestDispatcher::cancel_streams_of_disconnected(RequestId id, TrackedRequest& request) {
   for (const AttemptInFlight& attempt : request.attempts) {
     if (!attempt.is_streaming) continue;
@@ -216,8 +218,8 @@
 
 // ---- Attempts
 
-// Applies to later attempts. The workload manager sets hints only before it sends, so none in flight needs
-// them.
+// Applies to later attempts only. The workload manager sets hints before it sends an attempt, so attempts in
+// flight don't need an update.
 void RequestDispatcher::set_execution_hints(RequestId id, int priority, double grant_mb) {
   TrackedRequest* const request = requests_.find(id);
   if (request == nullptr) return;
@@ -252,8 +254,8 @@
   return request.is_open() && !would_duplicate(request, hedging_allowed_) && clock_.now() < request.deadline;
 }
 
-// A send for a request that has just ended is a race and harmless; the others are defects of the workload
-// manager.
+// Completes an attempt as superseded without sending it. For a request that has just been completed this is
+// a harmless race; for a duplicate or an unknown request it is a bug in the workload manager.
 void RequestDispatcher::block_send(RequestId id, TrackedRequest* request, EngineId engine) {
   const bool is_duplicate = request != nullptr && would_duplicate(*request, hedging_allowed_);
   if (request == nullptr || is_duplicate) {
@@ -277,7 +279,8 @@
   return spec;
 }
 
-// An attempt may have waited for a connection, or for the end of an earlier attempt.
+// The transport may have delayed the attempt until a connection was available or an earlier attempt had
+// ended, so the conditions for sending are checked again.
 bool RequestDispatcher::is_attempt_still_valid(AttemptId id) {
   clock_.update();
   const AttemptEntry entry = requests_.find(id);
@@ -289,7 +292,8 @@
   return manager_.is_attempt_still_valid(clock_.now(), id.request, id.number, *this);
 }
 
-// A streamed response belongs to the client: it can't be replaced by another attempt's.
+// An attempt whose response is streamed isn't cancelled: the client has received part of the response, which
+// another attempt can't replace.
 void RequestDispatcher::cancel_attempt(RequestId id, int attempt) {
   const AttemptEntry entry = requests_.find({id, attempt});
   if (!entry || entry.attempt->is_streaming) return;
@@ -329,7 +333,8 @@
   completion.id = id.request;
   completion.attempt = id.number;
   completion.engine = attempt.engine;
-  // A wrong statement says nothing about the engine or the class; from kSuperseded nothing is learned.
+  // An invalid statement provides no information about the engine or the class, so its outcome is reported as
+  // kSuperseded, which the workload manager excludes from its statistics.
   completion.outcome = result.is_statement_error ? Outcome::kSuperseded : result.outcome;
   completion.duration_us = clock_.now() - attempt.sent_at;
   completion.request_finished = !request.is_open();
@@ -342,7 +347,8 @@
   erase_if_done(id.request);
 }
 
-// Completes the request if no retry could change its response.
+// Completes the request if the result of this attempt is final: a success, an invalid statement or an
+// interrupted stream, none of which is retried.
 void RequestDispatcher::respond_if_final(AttemptId id, TrackedRequest& request, AttemptInFlight& attempt,
                                          const AttemptResult& result) {
   if (result.outcome == Outcome::kOk) {
@@ -378,7 +384,7 @@
   return !entry.attempt->is_paused;
 }
 
-// From here on the request can't be retried, and neither the attempt nor the request times out.
+// Once its response is streamed, a request can't be retried, and neither it nor its attempt times out.
 void RequestDispatcher::start_streaming(AttemptId id, TrackedRequest& request, AttemptInFlight& attempt) {
   ++counters_.streamed_responses;
   attempt.is_streaming = true;
@@ -468,7 +474,8 @@
   complete_attempt(id, result);
 }
 
-// The workload manager had its chance to complete the request: its attempts timed out before.
+// The request's attempts have timed out before, so the workload manager has already had the opportunity to
+// complete the request.
 void RequestDispatcher::on_request_timeout(RequestId id) {
   TrackedRequest* const request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return;
@@ -492,7 +499,7 @@
   });
 }
 
-// A late timer shows that the process stood still, for want of CPU or because one event took long.
+// A late timer indicates that the process stalled: it got no CPU time, or the handling of an event took long.
 void RequestDispatcher::record_timer_delay(TimeUs delay_us) {
   counters_.max_timer_delay_us = std::max(counters_.max_timer_delay_us, delay_us);
   if (delay_us < kStallThresholdUs) return;
@@ -508,7 +515,7 @@
 
 void RequestDispatcher::close_idle_connections(EngineId engine) { transport_.close_idle_connections(engine); }
 
-// Gateways of this program don't communicate: its settings never allow gossip.
+// Gateways of this program don't exchange gossip; the settings never enable it.
 void RequestDispatcher::send_gossip(uint32_t, std::string_view) {}
 
 void RequestDispatcher::log(std::string_view line) { log_.decision(line); }
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -32,47 +32,47 @@
 namespace sablelink::dispatch {
 
 struct DispatcherLimits {
-  size_t max_open_requests = 20'000;        // further ones are rejected
-  size_t response_buffer_bytes = 1 << 20;   // withheld of one response; past it, it is streamed
-  size_t total_buffer_bytes = 256u << 20;   // of all responses, what clients have yet to read included
-  size_t stream_window_bytes = 256u << 10;  // of a streamed response, unread; past it, reading pauses
+  size_t max_open_requests = 20'000;        // further requests are rejected
+  size_t response_buffer_bytes = 1 << 20;   // per response; a response that exceeds it is streamed
+  size_t total_buffer_bytes = 256u << 20;   // of all responses, including forwarded bytes not yet read
+  size_t stream_window_bytes = 256u << 10;  // unread bytes of a streamed response that pause its reading
   TimeUs health_check_timeout_us = 1'000'000;
 };
 
 /// Totals since the start, for metrics.
 struct DispatcherCounters {
-  uint64_t accepted = 0;  // submitted, those rejected at once included
+  uint64_t accepted = 0;  // submitted requests, including those rejected immediately
   uint64_t served = 0;
   uint64_t rejected = 0;
   uint64_t failed = 0;
-  uint64_t disconnected = 0;  // clients that left before their final response
+  uint64_t disconnected = 0;  // clients that disconnected before their final response
   uint64_t attempts = 0;
-  uint64_t retries = 0;  // attempts after a request's first, hedged ones included
+  uint64_t retries = 0;  // attempts after a request's first, including hedged ones
   uint64_t streamed_responses = 0;
-  uint64_t buffer_limit_reached = 0;  // responses streamed because all together exceeded total_buffer_bytes
-  uint64_t disconnected_unread = 0;   // clients that left before they had read what was forwarded to them
-  uint64_t deadline_exceeded = 0;     // requests that only the dispatcher's own timeout completed
-  uint64_t timer_stalls = 0;          // timers that were late by the threshold of the log event "stalled"
+  uint64_t buffer_limit_reached = 0;  // responses streamed because total_buffer_bytes was exceeded
+  uint64_t disconnected_unread = 0;   // those of `disconnected` that had unread forwarded bytes
+  uint64_t deadline_exceeded = 0;     // requests completed by the dispatcher's own deadline timeout
+  uint64_t timer_stalls = 0;          // timers late enough for the log event "stalled"
   TimeUs max_timer_delay_us = 0;
-  uint64_t blocked_sends = 0;  // sends that broke a guarantee of the dispatcher; a defect of the manager
+  uint64_t blocked_sends = 0;  // attempts not sent as they violate a guarantee; a workload manager bug
 };
 
-/// Owns the workload manager, notifies it of every event and carries out its decisions; owns the requests and
-/// attempts that both refer to.
+/// Owns the workload manager, notifies it of every event and executes its decisions. Also owns the requests
+/// and attempts that events and decisions refer to.
 ///
 /// Guarantees, whatever the workload manager decides:
 /// - each request gets exactly one final response, unless its client disconnects first;
-/// - the client has seen nothing of a response whose request may still be retried;
+/// - no part of a response is forwarded to the client while its request may still be retried;
 /// - a request has at most one attempt in flight, unless hedging is allowed;
 /// - requests and buffered bytes stay within the limits;
 /// - a request that isn't streaming is completed by its client's deadline.
 ///
-/// The class is long because all events meet here: those of clients, transports and timers, and the manager's
-/// decisions. The state itself stands in the parts below (requests, buffers, timeouts, health checks).
+/// The class is long because it handles all events of clients, transports and timers, and all decisions of
+/// the workload manager. Separate classes hold the state (requests, buffers, timeouts, health checks).
 ///
 /// Belongs to one strand, on which the clock, the transport and the servers call it. It performs no I/O and
-/// reads neither the wall clock nor a random device, so that equal events at equal times have equal effects.
-/// No method throws; errors of attempts arrive as results.
+/// reads neither the wall clock nor a random device, so its behavior is deterministic for given events at
+/// given times. No method throws; errors of attempts arrive as results.
 class RequestDispatcher : private WorkloadManagerDelegate {
  public:
   /// The references must outlive the dispatcher. Timers that are pending when it is destroyed do nothing.
@@ -83,28 +83,29 @@
   /// Starts the workload manager. Must be called before any other method.
   void start();
 
-  /// Accepts a request and assigns its id; the deadline in the query is a moment on the dispatcher's clock.
-  /// The sink gets the response, within this call if the request is rejected at once. Returns the request's
-  /// id, or 0 if it has been completed already.
+  /// Accepts a request and assigns its id. The query's deadline is a time on the dispatcher's clock. The sink
+  /// receives the response, within this call if the request is rejected immediately. Returns the request's
+  /// id, or 0 if the request has already been completed.
   RequestId submit(QueryRequest query, std::shared_ptr<const Statement> statement,
                    std::shared_ptr<ResponseSink> sink);
-  /// Cancels a request whose client has disconnected. Its sink isn't called again, and bytes that it hasn't
-  /// consumed are no longer counted. Also to be called for completed requests with unconsumed bytes; unknown
-  /// ids are ignored.
+  /// Cancels a request whose client has disconnected. Its sink isn't called again, and its unconsumed bytes
+  /// are no longer counted. Must also be called for completed requests with unconsumed bytes. Ignores unknown
+  /// ids.
   void on_client_disconnected(RequestId id);
-  /// The client has read so many bytes of what was written to the sink.
+  /// Reports that the client has read this number of bytes that were written to the sink.
   void on_response_consumed(RequestId id, size_t bytes);
 
   void on_endpoints_changed(EndpointUpdateKind kind, const std::vector<Endpoint>& endpoints);
 
-  /// A part of an attempt's response. Returns whether the transport may continue to read the response; if
-  /// not, it waits for EngineTransport::resume.
+  /// Handles a part of an attempt's response. Returns whether the transport may continue to read the
+  /// response; if not, the transport must wait for EngineTransport::resume.
   bool on_attempt_message(AttemptId id, std::string message);
   void on_attempt_progress(AttemptId id, ProgressKind kind, double value);
   void on_attempt_completed(AttemptId id, const AttemptResult& result);
   void on_health_check_completed(HealthCheckId id, Outcome outcome, const std::optional<LoadReport>& report);
 
-  /// Rejects every new request from now on; on_idle is called once, when no request is open, maybe at once.
+  /// Rejects every new request from now on. Calls on_idle once, when no request is open; possibly within this
+  /// call.
   void stop_accepting(std::function<void()> on_idle);
   /// Rejects every new request and completes the open ones.
   void cancel_in_flight();
@@ -113,18 +114,18 @@
   size_t open_requests() const { return requests_.open_count(); }
   /// Open requests and those that still have attempts in flight.
   size_t tracked_requests() const { return requests_.size(); }
-  /// Withheld until a response is complete, or forwarded and not yet read by clients.
+  /// Bytes that are buffered until their response is complete, or forwarded but not yet read by clients.
   size_t buffered_bytes() const { return buffers_.total_bytes(); }
   size_t outstanding_health_checks() const { return health_checks_.size(); }
   const DispatcherCounters& counters() const { return counters_; }
 
  protected:
-  /// Stops counting what the client of a request hasn't read. Virtual for tests that plant a defect.
+  /// Stops counting the unconsumed bytes of a request. Virtual so that tests can inject a defect.
   virtual void forget_unconsumed(RequestId id);
 
  private:
-  // The completion of an attempt that the workload manager caused itself, by a decision in an event. It is
-  // notified once the event has been handled.
+  // Completion of an attempt that results from a decision of the workload manager during an event. The
+  // manager is notified of it after the event has been handled.
   struct DeferredCompletion {
     AttemptId attempt;
     EngineId engine = 0;
@@ -145,7 +146,7 @@
   void send_gossip(uint32_t peer, std::string_view bytes) override;
   void log(std::string_view line) override;
 
-  // Events of the workload manager.
+  // Notifications of the workload manager.
   template <typename Event>
   void notify(Event&& event);
   void deliver_deferred_completions();
--- a/src/dispatch/request_table.cpp
+++ b/src/dispatch/request_table.cpp
@@ -5,7 +5,7 @@
 
 namespace sablelink::dispatch {
 
-// Ids start over after 2^32 requests; 0 means none.
+// Ids wrap around after 2^32 requests; 0 means none and is skipped.
 RequestId RequestTable::next_id(const std::function<bool(RequestId)>& is_reserved) {
   do {
     ++last_id_;
--- a/src/dispatch/request_table.h
+++ b/src/dispatch/request_table.h
@@ -18,38 +18,38 @@
   int number = 0;
   EngineId engine = 0;
   TimeUs sent_at = 0;
-  TimeUs deadline = 0;        // when it times out, unless its response is streamed
+  TimeUs deadline = 0;        // when the attempt times out, unless its response is streamed
   bool is_streaming = false;  // part of its response has been forwarded to the client
   bool is_paused = false;     // the transport waits for resume()
-  BufferedResponse buffered;  // empty once it streams
+  BufferedResponse buffered;  // empty once the response is streamed
 };
 
 struct TrackedRequest {
   std::shared_ptr<const Statement> statement;
   std::shared_ptr<ResponseSink> sink;  // null once the request is completed or its client has disconnected
-  TimeUs deadline = 0;                 // when the client gives up
+  TimeUs deadline = 0;                 // the client's deadline
   bool is_deadline_scheduled = false;  // its timeout is in the dispatcher's queue
   int class_index = 0;
   int priority = 1;
   double memory_grant_mb = 0;  // 0: the engine decides
   int attempts_sent = 0;
   std::vector<AttemptInFlight> attempts;  // in flight
-  EngineError last_error;                 // of the attempt that failed last
+  EngineError last_error;                 // of the most recent failed attempt
 
   /// Whether the client still waits for its final response.
   bool is_open() const { return sink != nullptr; }
   bool is_done() const { return !is_open() && attempts.empty(); }
 };
 
-/// An attempt in flight and its request; both null where the attempt isn't known.
+/// An attempt in flight and its request; both null if the attempt is unknown.
 struct AttemptEntry {
   TrackedRequest* request = nullptr;
   AttemptInFlight* attempt = nullptr;
   explicit operator bool() const { return attempt != nullptr; }
 };
 
-/// Owns the requests. Pointers to requests stay valid until erase(), those to attempts until an attempt of
-/// the same request is added or removed. Not thread-safe.
+/// Owns the tracked requests. A pointer to a request stays valid until erase(); a pointer to an attempt stays
+/// valid until an attempt of the same request is added or removed. Not thread-safe.
 class RequestTable {
  public:
   /// Returns an id that no tracked request has and for which the predicate is false.
@@ -58,7 +58,7 @@
   TrackedRequest& add(RequestId id, std::shared_ptr<ResponseSink> sink);
   TrackedRequest* find(RequestId id);
   AttemptEntry find(AttemptId id);
-  /// Closes an open request: returns its sink, which it no longer has.
+  /// Closes an open request: removes its sink and returns it.
   std::shared_ptr<ResponseSink> close(TrackedRequest& request);
   /// Removes a request that is done.
   void erase(RequestId id) { requests_.erase(id); }
--- a/src/dispatch/response_buffer.h
+++ b/src/dispatch/response_buffer.h
@@ -1,4 +1,4 @@
-// Memory of responses: what is withheld until a response is complete, and what clients have yet to read.
+// Memory of responses: bytes buffered until a response is complete, and forwarded bytes not yet read.
 #pragma once
 
 #include <cstddef>
@@ -11,19 +11,19 @@
 namespace sablelink::dispatch {
 
 struct ResponseBufferLimits {
-  size_t response_bytes = 0;       // withheld of one response; past it, the response is streamed
-  size_t total_bytes = 0;          // of all responses, what clients have yet to read included
-  size_t stream_window_bytes = 0;  // of a streamed response, unread by its client; past it, reading pauses
+  size_t response_bytes = 0;       // buffered per response; a response that exceeds it is streamed
+  size_t total_bytes = 0;          // of all responses, including forwarded bytes not yet read
+  size_t stream_window_bytes = 0;  // unread bytes of a streamed response that pause its reading
 };
 
-/// Messages of one attempt's response that are withheld from the client, so that the request can be retried
-/// if the attempt fails. Filled and emptied by ResponseBufferPool only.
+/// Messages of one attempt's response that are not yet forwarded to the client, so that the request can be
+/// retried if the attempt fails. Only ResponseBufferPool modifies it.
 struct BufferedResponse {
   std::vector<std::string> messages;
   size_t bytes = 0;
 };
 
-/// Accounts for the bytes of all responses. Not thread-safe.
+/// Counts the bytes of all responses. Not thread-safe.
 class ResponseBufferPool {
  public:
   explicit ResponseBufferPool(const ResponseBufferLimits& limits) : limits_(limits) {}
@@ -37,23 +37,23 @@
   }
   bool exceeds_total_limit() const { return total_bytes_ > limits_.total_bytes; }
 
-  /// Adds bytes that were forwarded to a client. They are tracked by request and may outlive it.
+  /// Adds bytes that were forwarded to a client. They are counted by request id, also after its completion.
   void add_unconsumed(RequestId request, size_t bytes);
-  /// Removes bytes that a client has read, at most those that it had yet to read.
+  /// Removes bytes that a client has read, at most as many as are unconsumed.
   void consume(RequestId request, size_t bytes);
-  /// Removes all that the client of a request has yet to read.
+  /// Removes all unconsumed bytes of a request.
   void forget_unconsumed(RequestId request);
   bool has_unconsumed(RequestId request) const { return unconsumed_.contains(request); }
-  /// Whether the client has so much to read that reading from the engine should pause.
+  /// Whether so many bytes are unconsumed that reading from the engine should pause.
   bool is_window_exceeded(RequestId request) const {
     return unconsumed_bytes(request) > limits_.stream_window_bytes;
   }
-  /// Whether reading may resume. Half a window lies between the two, so that not every message switches it.
+  /// Whether reading may resume: at half of the window, so that it isn't paused and resumed at every message.
   bool is_window_available(RequestId request) const {
     return unconsumed_bytes(request) <= limits_.stream_window_bytes / 2;
   }
 
-  /// Withheld or yet to be read by clients.
+  /// Bytes that are buffered, or forwarded but not yet read by clients.
   size_t total_bytes() const { return total_bytes_; }
 
  private:
--- a/src/dispatch/timeout_queue.h
+++ b/src/dispatch/timeout_queue.h
@@ -12,15 +12,15 @@
 
 namespace sablelink::dispatch {
 
-/// In the order in which timeouts of the same moment expire: an attempt's before its request's, so that the
-/// workload manager can still decide on the request.
+/// In the order in which timeouts with equal deadlines expire. An attempt expires before its request, so that
+/// the workload manager can still decide on the request.
 enum class TimeoutKind { kAttempt, kRequest, kHealthCheck };
 
 struct Timeout {
-  TimeUs deadline = 0;  // a moment in microseconds
+  TimeUs deadline = 0;  // in microseconds, on the dispatcher's clock
   TimeoutKind kind = TimeoutKind::kAttempt;
   uint32_t id = 0;  // of the request or the health check
-  int attempt = 0;  // of kAttempt: its number
+  int attempt = 0;  // for kAttempt: the attempt's number
   bool operator==(const Timeout&) const = default;
   bool operator<(const Timeout& other) const {
     return std::tie(deadline, kind, id, attempt) <
@@ -28,9 +28,9 @@
   }
 };
 
-/// Calls a handler for each timeout that expires before it is cancelled. Needs one pending callback of the
-/// clock, however many timeouts are scheduled. Belongs to the clock's strand and may be destroyed with
-/// timeouts pending.
+/// Calls a handler for each timeout that expires before it is cancelled. Requests a callback of the clock for
+/// the earliest timeout only, however many are scheduled. Belongs to the clock's strand and may be destroyed
+/// with timeouts pending.
 class TimeoutQueue {
  public:
   using Handler = std::function<void(const Timeout&)>;
@@ -45,12 +45,12 @@
 
  private:
   void request_callback();
-  void expire_due();
+  void expire_timeouts();
 
   EventClock& clock_;
   const Handler on_expired_;
   std::set<Timeout> timeouts_;
-  TimeUs callback_due_at_ = 0;  // the earliest callback that the clock still owes; 0: none
+  TimeUs next_callback_at_ = 0;  // time of the earliest pending callback of the clock; 0: none
   WeakPtrFactory<TimeoutQueue> weak_factory_{this};
 };
 
--- a/src/membership/endpoint_registry.cpp
+++ b/src/membership/endpoint_registry.cpp
@@ -31,10 +31,10 @@
   for (const Endpoint& endpoint : previous) {
     if (!known_engines_[endpoint.engine].is_listed) removed_.push_back(endpoint.engine);
   }
-  while (removed_.size() > kMaxRemovedEngines) forget_oldest_removed();
+  while (removed_.size() > kMaxRemovedEngines) evict_oldest_removed();
 }
 
-// Gives the engine its identifier and marks it as listed.
+// Returns the engine's identifier, assigning one to a new engine, and marks the engine as listed.
 EngineId EndpointRegistry::add_engine(const config::EngineConfig& engine) {
   const std::string key = engine.name + "@" + engine.address;
   EngineId& id = ids_[key];
@@ -46,7 +46,7 @@
   return id;
 }
 
-void EndpointRegistry::forget_oldest_removed() {
+void EndpointRegistry::evict_oldest_removed() {
   const EngineId oldest = removed_.front();
   removed_.pop_front();
   const auto it = known_engines_.find(oldest);
--- a/src/membership/endpoint_registry.h
+++ b/src/membership/endpoint_registry.h
@@ -1,4 +1,4 @@
-// Identifiers and addresses of the engines that a gateway knows.
+// Identifiers and addresses of the engines of a gateway.
 #pragma once
 
 #include <cstddef>
@@ -13,38 +13,39 @@
 
 namespace sablelink::membership {
 
-/// Maps the configured engines to endpoints with stable identifiers. Identifiers are given in the order in
-/// which engines first appear and are never given to another engine. Pure: the caller notifies others of a
-/// change.
+/// Maps the configured engines to endpoints with stable identifiers. Identifiers are assigned in the order in
+/// which engines first appear and are never reused for another engine. Sends no notifications: the caller
+/// notifies the dispatcher of changes.
 class EndpointRegistry {
  public:
-  /// Removed engines whose addresses and identifiers are remembered; far more than are removed while an
-  /// attempt runs. Bounds the memory of a gateway whose engines come and go for ever.
+  /// Number of removed engines whose addresses and identifiers are retained. It limits the memory of a
+  /// gateway whose engines are replaced continually, and far fewer engines are removed while an attempt is in
+  /// flight.
   static constexpr size_t kMaxRemovedEngines = 256;
 
-  /// Replaces the endpoint list by a complete one. An engine whose address has changed is another engine and
-  /// gets a new identifier.
+  /// Replaces the endpoint list with a complete new one. An engine whose address has changed is treated as a
+  /// different engine and gets a new identifier.
   void replace(const std::vector<config::EngineConfig>& engines);
 
   /// The current list, in the order of the last replace().
   const std::vector<Endpoint>& endpoints() const { return endpoints_; }
-  /// "host:port"; also of a removed engine while it is remembered, as attempts may still run there. Empty for
-  /// an identifier that was never given or is forgotten.
+  /// Returns the engine's "host:port". Removed engines are included while they are retained, as attempts may
+  /// still be in flight there. Empty for an identifier that was never assigned or is no longer retained.
   const std::string& address(EngineId engine) const;
 
  private:
   struct KnownEngine {
-    std::string key;  // of ids_
+    std::string key;  // in ids_
     std::string address;
     bool is_listed = false;
   };
 
   EngineId add_engine(const config::EngineConfig& engine);
-  void forget_oldest_removed();
+  void evict_oldest_removed();
 
   std::map<std::string, EngineId> ids_;  // by name and address
   std::map<EngineId, KnownEngine> known_engines_;
-  std::deque<EngineId> removed_;  // in the order of removal; one may be listed again, or stand here twice
+  std::deque<EngineId> removed_;  // in the order of removal; may hold duplicates and engines listed again
   EngineId last_id_ = 0;
   std::vector<Endpoint> endpoints_;
 };
