--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -515,7 +515,7 @@
 
 void RequestDispatcher::close_idle_connections(EngineId engine) { transport_.close_idle_connections(engine); }
 
-// Gateways of this program don't exchange gossip; the settings never enable it.
+// Gateways of this program don't exchange gossip: the workload manager never sends any.
 void RequestDispatcher::send_gossip(uint32_t, std::string_view) {}
 
 void RequestDispatcher::log(std::string_view line) { log_.decision(line); }
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// The order of the draws is part of what a seed of the simulation means.
+// The order of the draws must not change: simulation results for a given seed depend on it.
 GatewaySeeds GatewaySeeds::draw(const std::function<uint64_t()>& random) {
   GatewaySeeds seeds;
   seeds.incarnation = random();
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kCancelPollInterval{1};
-constexpr TimeUs kResponseFlushUs = 500'000;  // for final responses that are still being written
+constexpr TimeUs kResponseFlushTimeoutUs = 500'000;  // for final responses that are still being written
 
 rpc::GrpcClientOptions client_options(const config::FlightSqlLimits& limits) {
   rpc::GrpcClientOptions options;
@@ -67,15 +67,15 @@
 
 void GatewayService::shut_down(TimeUs grace_us) {
   const bool all_completed = wait_for_open_requests(grace_us);
-  server_->shutdown(all_completed ? kResponseFlushUs : 0);
+  server_->shutdown(all_completed ? kResponseFlushTimeoutUs : 0);
   log_column_lookups();
   log_->info("shutdown_completed", {{"all_requests_completed", all_completed ? "true" : "false"}});
 }
 
-// Rejects new requests from its call on. Returns whether all open ones were completed within the grace
-// period.
+// Rejects new requests from now on and waits for the open ones. Returns whether all of them were completed
+// within the grace period.
 bool GatewayService::wait_for_open_requests(TimeUs grace_us) {
-  // Shared with the dispatcher, which may become idle after the grace period.
+  // Shared with the dispatcher's callback, which may be called after the grace period.
   const auto idle = std::make_shared<std::promise<void>>();
   std::future<void> idle_future = idle->get_future();
   loop_.post([this, idle] {
@@ -90,7 +90,7 @@
   destroy_core();
 }
 
-// Coroutines on the loop use the core, so it is destroyed once all of them have ended.
+// Coroutines on the loop use the core, so it isn't destroyed before all of them have ended.
 void GatewayService::destroy_core() {
   bool all_ended = false;
   while (!all_ended) {
--- a/src/service/gateway_service.h
+++ b/src/service/gateway_service.h
@@ -1,5 +1,5 @@
-// A Flight SQL gateway as a process runs it: its parts on one event loop, with start, reload and graceful
-// shutdown.
+// Runs a Flight SQL gateway in a process: the gateway's parts on one event loop, with start, reload and
+// graceful shutdown.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
 
 namespace sablelink::service {
 
-/// Owns a gateway, its event loop and the loop's thread. Belongs to one thread other than the loop's.
+/// Owns a gateway, its event loop and the loop's thread. Must be used from a single thread, not the loop's.
 class GatewayService {
  public:
-  /// Starts to listen and serve. Throws rpc::ListenError.
+  /// Starts listening and serving. Throws rpc::ListenError.
   GatewayService(config::GatewayConfig config, const System& system);
-  /// Aborts the calls and attempts that are left.
+  /// Aborts the remaining calls and attempts.
   ~GatewayService();
 
   int port() const { return server_->port(); }
@@ -28,7 +28,7 @@
   /// Shuts down gracefully, once: rejects new requests, waits for open ones up to the grace period in
   /// microseconds, then closes the server. Blocks.
   void shut_down(TimeUs grace_us);
-  /// Runs the function on the event loop and waits for it. For tests and metrics.
+  /// Runs the function on the event loop and waits for its return. For tests and metrics.
   void inspect(
       const std::function<void(const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer&)>& fn);
 
--- a/src/service/json_log.cpp
+++ b/src/service/json_log.cpp
@@ -12,7 +12,7 @@
   return '"' + json_escaped(key) + R"(":")" + json_escaped(value) + '"';
 }
 
-// spdlog adds the members that all records have; those of the event are its message.
+// spdlog's pattern adds the members common to all records; its message contains the members of the event.
 class JsonLog : public Log {
  public:
   JsonLog(const std::string& component, const std::string& level)
--- a/src/service/json_log.h
+++ b/src/service/json_log.h
@@ -8,9 +8,9 @@
 
 namespace sablelink::service {
 
-/// Makes a thread-safe log. Each record is one JSON object with time, level, log, event and the event's
-/// fields. The component is the value of "log"; the level is "debug", "info", "warn" or "error", and records
-/// below it are dropped.
+/// Creates a thread-safe log. Each record is one JSON object with time, level, log, event and the event's
+/// fields. The component is the value of "log". The level is "debug", "info", "warn" or "error"; records
+/// below it are discarded.
 std::unique_ptr<Log> make_json_log(const std::string& component, const std::string& level);
 
 }  // namespace sablelink::service
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr TimeUs kIdlePollIntervalUs = 10'000;
-constexpr size_t kResponseMemoryDivisor = 8;  // responses may take this part of the memory limit
+constexpr size_t kResponseMemoryDivisor = 8;  // responses may use one part in so many of the memory limit
 
 platform::EngineClientOptions engine_client_options(const platform::PlatformConfig& config,
                                                     const platform::DescriptorBudget& budget) {
@@ -81,7 +81,8 @@
                          {"cores", std::to_string(config_.cpu_cores)}});
 }
 
-// Destroying the network ends the coroutines that wait for it; poll() lets them return while the loop exists.
+// Destroying the network ends the coroutines that wait for it. poll() lets them return before the loop is
+// destroyed.
 PlatformService::~PlatformService() {
   endpoint_watcher_.reset();
   http_server_.reset();
@@ -99,7 +100,7 @@
   endpoint_watcher_->switch_address(config);
 }
 
-// The first list is made of the events in the configuration, so it may be out of date.
+// The first list is built from the events in the configuration, so it may be out of date.
 void PlatformService::on_endpoints_changed(const std::vector<config::EngineConfig>& engines) {
   endpoint_registry_.replace(engines);
   engine_client_->on_endpoints_changed();
--- a/src/service/platform_service.h
+++ b/src/service/platform_service.h
@@ -1,5 +1,5 @@
-// A gateway on the users' platform as a process runs it: its parts on one event loop, with start, reload and
-// graceful shutdown.
+// Runs a gateway of the users' platform in a process: the gateway's parts on one event loop, with start,
+// reload and graceful shutdown.
 #pragma once
 
 #include <memory>
@@ -19,18 +19,19 @@
 
 namespace sablelink::service {
 
-/// Owns a gateway and its event loop, whose thread is the one that calls run(). Every other method belongs on
-/// that thread too, or before run().
+/// Owns a gateway and its event loop, which runs on the thread that calls run(). All other methods must be
+/// called on that thread or before run().
 ///
 /// Graceful shutdown, with times from platform::ShutdownSchedule:
-/// 1. Draining: health checks say so, connections close after their responses; requests are still accepted.
-/// 2. At stop_accepting: the listener and idle connections close.
-/// 3. At cancel_in_flight: open requests get their final responses, new ones are rejected.
-/// 4. From 2 on, once no request is open and no client is connected, but at the latest at exit: run()
-/// returns.
+/// 1. Draining: responses to health checks report the drain, connections are closed after their current
+///    response, and requests are still accepted.
+/// 2. At stop_accepting: the listener and idle connections are closed.
+/// 3. At cancel_in_flight: open requests receive their final responses, and new requests are rejected.
+/// 4. run() returns once no request is open and no client is connected, but not before step 2 and no later
+///    than exit.
 class PlatformService {
  public:
-  /// Starts to listen; serves in run(). Throws rpc::AddressError or rpc::ListenError.
+  /// Starts listening; run() serves. Throws rpc::AddressError or rpc::ListenError.
   PlatformService(platform::PlatformConfig config, const System& system);
   ~PlatformService();
 
@@ -39,7 +40,7 @@
   rpc::AsioLoop& loop() { return loop_; }
   int port() const { return port_; }
 
-  /// Applies the endpoint watcher's address of a new configuration. Other changes need a restart.
+  /// Switches the endpoint watcher to the address in a new configuration. Other changes need a restart.
   void reload(const platform::PlatformConfig& config);
   /// Starts the graceful shutdown. Further calls have no effect.
   void start_graceful_shutdown();
--- a/src/service/registry_endpoint_source.h
+++ b/src/service/registry_endpoint_source.h
@@ -10,19 +10,19 @@
 
 namespace sablelink::service {
 
-/// Delivers the whole registry on request. Whoever changes the registry notifies the dispatcher itself, so a
-/// watch delivers the current endpoints once.
+/// Delivers all endpoints of the registry on request. The code that changes the registry notifies the
+/// dispatcher itself, so a watch delivers the current endpoints only once.
 ///
 /// Belongs to the dispatcher's strand. May be destroyed with deliveries pending; the registry must outlive
 /// it.
 class RegistryEndpointSource : public dispatch::EndpointSource {
  public:
-  /// Runs a function soon on the dispatcher's strand, not within the call.
+  /// Posts a function to the dispatcher's strand; it doesn't run within the call.
   using Scheduler = std::function<void(std::function<void()>)>;
 
   RegistryEndpointSource(const membership::EndpointRegistry& registry, Scheduler schedule);
 
-  /// Must be called before the dispatcher is started; it must outlive the source.
+  /// Must be called before the dispatcher is started. The dispatcher must outlive the source.
   void set_dispatcher(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
   void watch(bool enabled) override;
--- a/src/service/system.h
+++ b/src/service/system.h
@@ -8,8 +8,9 @@
 
 namespace sablelink::service {
 
-/// What only main reads from the operating system. Passed down, so that everything else can run on a virtual
-/// clock and a seeded generator. The functions must be callable from any thread.
+/// Clocks and random numbers of the operating system, which only main accesses directly. They are passed as
+/// parameters so that all other code can run with a virtual clock and a seeded generator. The functions must
+/// be callable from any thread.
 struct System {
   WallClock wall;
   SteadyClock steady;
--- a/src/simulator_adapter/codec.cpp
+++ b/src/simulator_adapter/codec.cpp
@@ -14,15 +14,15 @@
 constexpr size_t kEndpointBytes = 25;
 constexpr size_t kMaxTextBytes = 65535;
 
-// The table group comes as a float; a larger value can't be a group's number.
+// The table group is sent as a float; values from this on aren't valid group numbers and are ignored.
 constexpr float kMaxTableGroup = 1e9f;
 
-// Bits of a request's Opts.
+// Bits of a request's Opts field.
 constexpr uint8_t kHasCostEstimate = 1;
 constexpr uint8_t kIsClientRetry = 2;
 constexpr uint8_t kIsWrite = 4;
 
-// Stats holds the work in milliseconds above these bits and the memory below them.
+// The Stats field holds the memory in its low bits and the work in milliseconds in the bits above them.
 constexpr int kStatsMemoryBits = 12;
 constexpr uint32_t kStatsMemoryMask = (1u << kStatsMemoryBits) - 1;
 constexpr double kStatsMemoryUnitMb = 4;
@@ -87,7 +87,7 @@
   header.now = static_cast<TimeUs>(in.u64());
   header.body_bytes = in.u32();
   if (header.body_bytes < sizeof(uint32_t)) {
-    throw ProtocolError("wire: batch length leaves no room for the record count");
+    throw ProtocolError("wire: batch body is too short for the record count");
   }
   return header;
 }
@@ -230,7 +230,7 @@
   return update;
 }
 
-// Codes of the records in a reply; beside each the wire's name.
+// Codes of the records in a reply, each with its name in the wire's description.
 enum class FrameWriter::ActionCode : uint8_t {
   kWatchEndpoints = 1,         // listen
   kSetExecutionHints = 2,      // terms
--- a/src/simulator_adapter/codec.h
+++ b/src/simulator_adapter/codec.h
@@ -1,5 +1,5 @@
-// The simulator's binary wire: batches of events in, reply frames of actions out. The wire's own names and
-// record codes are mapped to the terms of the workload manager here alone. No decisions are made here.
+// Codec of the simulator's binary wire format: reads batches of events and writes reply frames of actions.
+// Only this codec knows the wire's names and record codes; it maps them to the workload manager's terms.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace sablelink::simulator_adapter {
 
-/// The input doesn't follow the wire's format. The connection can't be continued after it.
+/// The input violates the wire format. The connection can't be used any further.
 struct ProtocolError : Error {
   using Error::Error;
 };
@@ -26,16 +26,16 @@
 struct BatchHeader {
   /// The time of every event in the batch and of every action in its reply.
   TimeUs now = 0;
-  /// Size of what follows the header: the number of records (u32) and the records.
+  /// Size of the body, which consists of the number of records (u32) and the records.
   uint32_t body_bytes = 0;
 };
 
-/// Reads the first kHeaderBytes of a batch. Throws ProtocolError where the body is too short for its record
+/// Reads the first kHeaderBytes of a batch. Throws ProtocolError if the body is too short for its record
 /// count.
 BatchHeader read_batch_header(std::string_view bytes);
 
 /// Reads little-endian values from the body of one batch, which must outlive the reader and the views it
-/// returns. Every read throws ProtocolError where the body ends too early.
+/// returns. Every read throws ProtocolError if too few bytes remain.
 class FrameReader {
  public:
   explicit FrameReader(std::string_view body) : remaining_(body) {}
@@ -45,8 +45,8 @@
   uint32_t u32() { return static_cast<uint32_t>(unsigned_integer(4)); }
   uint64_t u64() { return unsigned_integer(8); }
   float f32();
-  /// An engine's address and port as one opaque value: the four bytes of the address come first, the port
-  /// last.
+  /// Reads an engine's address and port as one opaque value: the four bytes of the address in the high bits,
+  /// the port in the low 16.
   EngineId engine_id();
   std::string_view bytes(size_t count);
 
@@ -55,7 +55,8 @@
   std::string_view remaining_;
 };
 
-/// Codes of the records in a batch; beside each the wire's name. Actions have codes of their own.
+/// Codes of the records in a batch, each with its name in the wire's description. Actions have separate
+/// codes.
 enum class EventCode : uint8_t {
   kInstanceStarted = 1,          // open_instance
   kEndpointsChanged = 2,         // membership
@@ -72,29 +73,29 @@
   kInstanceSelected = 13,        // switch_to
 };
 
-// Each function below reads the fields of one record, or of one part of it, and throws ProtocolError where
-// they are incomplete or hold a value that the wire doesn't define.
+// Each function below reads the fields of a record or of a part of one. It throws ProtocolError if they are
+// incomplete or contain a value that the wire format doesn't define.
 
-/// The entries of a ledger record.
+/// Reads the entries of a ledger record.
 std::vector<Endpoint> read_endpoints(FrameReader& in);
-/// The Form field of a membership record.
+/// Reads the Form field of a membership record.
 EndpointUpdateKind read_endpoint_update_kind(FrameReader& in);
 QueryRequest read_request(FrameReader& in);
-/// reports_cost: whether the site's engines report the work and memory that an attempt took.
+/// reports_cost: whether the engines report the work and memory use of attempts.
 /// load_report_fields: names of the values in a load report, in their order on the wire.
 AttemptCompletion read_attempt_completion(FrameReader& in, bool reports_cost,
                                           const std::vector<std::string>& load_report_fields);
 ProgressUpdate read_progress(FrameReader& in);
 Outcome read_outcome(FrameReader& in);
-/// None where the record carries no report. Values that aren't finite, or have no name, are skipped.
+/// Returns nullopt if the record has no load report. Values that aren't finite or have no name are skipped.
 std::optional<LoadReport> read_load_report(FrameReader& in,
                                            const std::vector<std::string>& load_report_fields);
 
-/// Collects the actions of all instances into one reply frame. A context record precedes the first action of
-/// an instance and each action that follows one of another instance.
+/// Collects the actions of all instances in one reply frame. A context record, which selects the instance,
+/// precedes the first action and each action whose instance differs from the previous action's.
 class FrameWriter : public WorkloadManagerDelegate {
  public:
-  /// The instance that the following actions belong to.
+  /// Selects the instance to which the following actions belong.
   void select_instance(uint16_t instance) { instance_ = instance; }
   /// Returns the reply with its header and leaves the writer empty.
   std::string take_frame();
@@ -122,7 +123,7 @@
 
   std::string records_;
   uint16_t instance_ = 0;
-  std::optional<uint16_t> context_instance_;  // named by the last context record of this reply
+  std::optional<uint16_t> context_instance_;  // selected by the last context record of this reply
 };
 
 }  // namespace sablelink::simulator_adapter
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
-// The simulator's adapter: reads batches from standard input and writes a reply to each on standard output,
-// until the input ends. Exit code 0 at the end of input, 1 after an error.
+// The simulator's adapter: reads batches from standard input and writes a reply to each to standard output,
+// until the input ends. Exit code: 0 at the end of the input, 1 after an error.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -17,8 +17,8 @@
 
 constexpr size_t kReadChunkBytes = size_t{1} << 20;
 
-// Reads count bytes of standard input; fewer where the input ends first. The buffer grows by chunks, so that
-// a wrong length doesn't claim its memory up front.
+// Reads count bytes from standard input, or fewer if the input ends first. The buffer grows in chunks, so
+// that memory isn't allocated in advance for an invalid length.
 std::string read_up_to(size_t count) {
   std::string bytes;
   while (bytes.size() < count) {
@@ -39,10 +39,10 @@
 void serve_until_end_of_input() {
   SimulatorHost host;
   for (;;) {
-    const std::string head = read_up_to(kHeaderBytes);
-    if (head.empty()) return;
-    if (head.size() < kHeaderBytes) throw ProtocolError("wire: input ended inside a batch header");
-    const BatchHeader header = sablelink::simulator_adapter::read_batch_header(head);
+    const std::string header_bytes = read_up_to(kHeaderBytes);
+    if (header_bytes.empty()) return;
+    if (header_bytes.size() < kHeaderBytes) throw ProtocolError("wire: input ended inside a batch header");
+    const BatchHeader header = sablelink::simulator_adapter::read_batch_header(header_bytes);
     const std::string body = read_up_to(header.body_bytes);
     if (body.size() < header.body_bytes) throw ProtocolError("wire: input ended inside a batch");
     write_reply(host.handle_batch(header.now, body));
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -105,9 +105,9 @@
 
 void SimulatorHost::on_endpoints_changed(TimeUs now, FrameReader& in, Instance* instance) {
   const uint8_t list = in.u8();
-  in.u32();  // The list's version isn't needed: updates arrive in order and without gaps.
+  in.u32();  // The list's version is ignored: updates arrive in order and without gaps.
   const EndpointUpdateKind kind = read_endpoint_update_kind(in);
-  // An update that reports a failure has no list; its list number has no meaning.
+  // An update that reports a failure has no list, and its list number is undefined.
   static const std::vector<Endpoint> kNoEndpoints;
   const bool has_list = kind != EndpointUpdateKind::kFailed;
   if (has_list && list >= kEndpointLists) throw ProtocolError("wire: ledger number out of range");
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -1,4 +1,4 @@
-// Runs a workload manager for each gateway instance that the simulator places in this process.
+// Runs a workload manager for each gateway instance that the simulator starts in this process.
 #pragma once
 
 #include <array>
@@ -16,12 +16,12 @@
 
 namespace sablelink::simulator_adapter {
 
-/// Feeds the records of a batch to the instances they belong to and collects what these do. One thread.
+/// Dispatches the records of a batch to their instances and collects the resulting actions. Not thread-safe.
 class SimulatorHost {
  public:
-  /// Handles one batch and returns the reply frame. now: the clock of the batch's header; body: what follows
-  /// the header. Throws ProtocolError for malformed input and SettingsError for settings that can't be read;
-  /// the host must not be used after either.
+  /// Handles one batch and returns the reply frame. now: the time in the batch's header; body: the batch
+  /// without its header. Throws ProtocolError for malformed input and SettingsError for invalid settings; the
+  /// host must not be used after either.
   std::string handle_batch(TimeUs now, std::string_view body);
 
  private:
@@ -37,8 +37,8 @@
   void start_instance(TimeUs now, FrameReader& in);
   void define_endpoint_list(FrameReader& in);
 
-  // Each reads the record of one event and notifies the instance of it; nullptr: the instance isn't running,
-  // and the record is skipped.
+  // Each reads the record of one event and notifies the instance of it. If the instance isn't running, it is
+  // nullptr and the record is skipped.
   void handle_event(TimeUs now, EventCode code, FrameReader& in, Instance* instance);
   void on_endpoints_changed(TimeUs now, FrameReader& in, Instance* instance);
   void on_request(TimeUs now, FrameReader& in, Instance* instance);
@@ -50,12 +50,12 @@
   void on_gossip(TimeUs now, FrameReader& in, Instance* instance);
   void on_progress(TimeUs now, FrameReader& in, Instance* instance);
 
-  // Names of the values in the instance's load reports; empty where it isn't running.
+  // Names of the values in the instance's load reports; empty if the instance isn't running.
   static const std::vector<std::string>& load_report_fields(const Instance* instance);
 
-  // Throws ProtocolError where the batch has selected no instance yet.
+  // Throws ProtocolError if the batch hasn't selected an instance yet.
   uint16_t selected_instance_id() const;
-  // nullptr where the selected instance isn't running.
+  // nullptr if the selected instance isn't running.
   Instance* selected_instance();
 
   std::map<uint16_t, Instance> instances_;
--- a/tests/base/weak_ptr_test.cpp
+++ b/tests/base/weak_ptr_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(owner.value, 8);
 }
 
-TEST(WeakPtr, OwnerDestroyed_IsEmptyAndSoAreItsCopies) {
+TEST(WeakPtr, OwnerDestroyed_PointerAndItsCopiesAreEmpty) {
   auto owner = std::make_unique<Owner>(7);
   const WeakPtr<Owner> pointer = owner->get_weak_ptr();
   const std::array<WeakPtr<Owner>, 1> copies{pointer};
@@ -54,13 +54,13 @@
   EXPECT_FALSE(owner.get_weak_ptr());
 }
 
-TEST(WeakPtr, TwoOwners_OneDestroyedLeavesTheOthersPointer) {
-  Owner kept(1);
+TEST(WeakPtr, TwoOwners_DestroyingOneKeepsTheOthersPointer) {
+  Owner remaining(1);
   auto destroyed = std::make_unique<Owner>(2);
-  const WeakPtr<Owner> to_kept = kept.get_weak_ptr();
+  const WeakPtr<Owner> to_remaining = remaining.get_weak_ptr();
   const WeakPtr<Owner> to_destroyed = destroyed->get_weak_ptr();
   destroyed.reset();
-  EXPECT_TRUE(to_kept);
+  EXPECT_TRUE(to_remaining);
   EXPECT_FALSE(to_destroyed);
 }
 
--- a/tests/dispatch/dispatcher_harness.h
+++ b/tests/dispatch/dispatcher_harness.h
@@ -19,7 +19,7 @@
   void call_after(TimeUs delay_us, std::function<void()> callback) override {
     timers_.push(now_ + std::max<TimeUs>(delay_us, 0), std::move(callback));
   }
-  // Advances the time and runs each callback at its time.
+  // Advances the time and runs each callback at its deadline.
   void run_for(TimeUs duration_us) {
     const TimeUs end = now_ + duration_us;
     while (!timers_.empty() && timers_.next_deadline() <= end) {
@@ -29,7 +29,7 @@
     }
     now_ = end;
   }
-  // Advances the time without running callbacks, as if the process stood still.
+  // Advances the time without running callbacks, as if the process had stalled.
   void stall(TimeUs duration_us) { now_ += duration_us; }
   size_t pending() const { return timers_.size(); }
 
@@ -122,7 +122,7 @@
     dispatch::AttemptResult result;
     result.outcome = outcome;
     result.is_statement_error = is_statement_error;
-    if (outcome != Outcome::kOk) result.error = {13, "trouble"};
+    if (outcome != Outcome::kOk) result.error = {13, "engine error"};
     dispatcher.on_attempt_completed(attempt.id, result);
   }
 
--- a/tests/dispatch/request_dispatcher_test.cpp
+++ b/tests/dispatch/request_dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// The dispatcher with a fake transport, fake clients and a manual clock.
+// Tests of the dispatcher with a fake transport, fake clients and a manual clock.
 #include "dispatch/request_dispatcher.h"
 
 #include <gtest/gtest.h>
@@ -35,13 +35,13 @@
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = fixture.submit(client);
-  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "half of an answer");
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "partial response");
   fixture.complete(*fixture.transport.in_flight(id), Outcome::kReset);
   ASSERT_EQ(fixture.transport.sent_count(id), 2);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 0u);
-  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "whole");
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "complete response");
   fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
-  ASSERT_EQ(client->messages, std::vector<std::string>{"whole"});
+  ASSERT_EQ(client->messages, std::vector<std::string>{"complete response"});
   EXPECT_EQ(client->final_responses.at(0).attempts, 2);
 }
 
@@ -64,7 +64,7 @@
   EXPECT_EQ(fixture.transport.sent_count(id), 1);
 }
 
-TEST(RequestDispatcher, RequestPastItsDeadline_IsRejectedAtOnceAndNotSent) {
+TEST(RequestDispatcher, RequestPastItsDeadline_IsRejectedImmediatelyAndNotSent) {
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = fixture.submit(client, 0);
@@ -75,8 +75,8 @@
   EXPECT_EQ(fixture.dispatcher.tracked_requests(), 0u);
 }
 
-// It waits behind another request of its key, for less time than the workload manager's own check takes:
-// nothing was executed, so the client may retry.
+// The request is queued behind another one of its key, and its deadline passes before the workload manager's
+// next periodic check. Nothing was executed, so it must be rejected, which allows the client to retry.
 TEST(RequestDispatcher, QueuedRequest_AtDeadlineIsRejected) {
   Settings s = plain_settings();
   s.classes[0].ordered_by_key = true;
@@ -97,7 +97,7 @@
   DispatcherFixture fixture(plain_settings(), limits);
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = fixture.submit(client, kSecond);
-  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "a long answer begins");
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "start of a long response");
   fixture.clock.run_for(3 * kSecond);
   EXPECT_TRUE(client->final_responses.empty());
   fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
@@ -120,7 +120,7 @@
   EXPECT_TRUE(
       fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(fast_id)->id, std::string(60, 'x')));
   fixture.dispatcher.on_response_consumed(slow_id, 60);
-  EXPECT_EQ(fixture.transport.resumes, 0);  // 60 left, more than half of the window
+  EXPECT_EQ(fixture.transport.resumes, 0);  // 60 unread bytes, more than half of the window
   fixture.dispatcher.on_response_consumed(slow_id, 30);
   EXPECT_EQ(fixture.transport.resumes, 1);
 }
@@ -137,7 +137,7 @@
   fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(first)->id, std::string(900, 'x'));
   EXPECT_TRUE(two->messages.empty());
   fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(second)->id, std::string(700, 'x'));
-  EXPECT_EQ(two->messages.size(), 1u);  // streamed before its own limit
+  EXPECT_EQ(two->messages.size(), 1u);  // streamed although below its own limit
   fixture.dispatcher.on_client_disconnected(second);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 900u);
   fixture.dispatcher.on_client_disconnected(first);
@@ -148,7 +148,7 @@
   DispatcherFixture fixture;
   const auto client = std::make_shared<FakeClient>();
   const RequestId id = fixture.submit(client);
-  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "answer");
+  fixture.dispatcher.on_attempt_message(fixture.transport.in_flight(id)->id, "result");
   fixture.complete(*fixture.transport.in_flight(id), Outcome::kOk);
   EXPECT_EQ(fixture.dispatcher.buffered_bytes(), 6u);
   fixture.dispatcher.on_client_disconnected(id);
@@ -192,12 +192,12 @@
   for (int i = 0; i < 20; ++i) {
     const auto client = std::make_shared<FakeClient>();
     const RequestId id = fixture.submit(client);
-    ASSERT_NE(fixture.transport.in_flight(id), nullptr) << "an engine was ejected for wrong statements";
+    ASSERT_NE(fixture.transport.in_flight(id), nullptr) << "an engine was ejected for invalid statements";
     fixture.complete(*fixture.transport.in_flight(id), Outcome::kError, true);
     ASSERT_EQ(client->final_responses.size(), 1u);
     EXPECT_EQ(client->final_responses[0].status, RequestStatus::kFailed);
     EXPECT_EQ(client->final_responses[0].reason, CompletionReason::kStatementError);
-    EXPECT_EQ(client->final_responses[0].error.message, "trouble");
+    EXPECT_EQ(client->final_responses[0].error.message, "engine error");
     EXPECT_EQ(fixture.transport.sent_count(id), 1);
   }
 }
@@ -226,7 +226,7 @@
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
 }
 
-TEST(RequestDispatcher, OpenRequestLimit_FurtherRequestsAreRejectedAtOnce) {
+TEST(RequestDispatcher, OpenRequestLimit_FurtherRequestsAreRejectedImmediately) {
   dispatch::DispatcherLimits limits;
   limits.max_open_requests = 2;
   DispatcherFixture fixture(plain_settings(), limits);
@@ -273,7 +273,7 @@
   EXPECT_EQ(fixture.dispatcher.open_requests(), 0u);
 }
 
-// The client has disconnected, though the end of its connection is yet to be read.
+// The client has disconnected, but on_client_disconnected hasn't been called yet.
 TEST(RequestDispatcher, ClientKnownToBeDisconnected_AttemptIsNoLongerValid) {
   struct DisconnectingClient : FakeClient {
     bool is_client_disconnected() const override { return is_disconnected; }
@@ -292,7 +292,7 @@
   }
 }
 
-TEST(RequestDispatcher, StopAccepting_WithoutOpenRequestsIsIdleAtOnce) {
+TEST(RequestDispatcher, StopAccepting_WithoutOpenRequestsIsIdleImmediately) {
   DispatcherFixture fixture;
   bool idle = false;
   fixture.dispatcher.stop_accepting([&] { idle = true; });
--- a/tests/dispatch/timeout_queue_test.cpp
+++ b/tests/dispatch/timeout_queue_test.cpp
@@ -54,15 +54,15 @@
 
 TEST_F(TimeoutQueueTest, CancelledTimeout_DoesNotExpire) {
   const Timeout cancelled = after(10, TimeoutKind::kRequest, 1);
-  const Timeout kept = after(20, TimeoutKind::kRequest, 2);
+  const Timeout scheduled = after(20, TimeoutKind::kRequest, 2);
   queue_->schedule(cancelled);
-  queue_->schedule(kept);
+  queue_->schedule(scheduled);
   queue_->cancel(cancelled);
   clock_.run_for(20);
-  EXPECT_EQ(expired_, std::vector<Timeout>{kept});
+  EXPECT_EQ(expired_, std::vector<Timeout>{scheduled});
 }
 
-TEST_F(TimeoutQueueTest, ManyTimeouts_NeedOneCallbackOfTheClock) {
+TEST_F(TimeoutQueueTest, ManyTimeouts_RequestOneCallbackOfTheClock) {
   for (uint32_t id = 1; id <= 100; ++id) queue_->schedule(after(10 + id, TimeoutKind::kRequest, id));
   EXPECT_EQ(clock_.pending(), 1u);
 }
--- a/tests/membership/endpoint_registry_test.cpp
+++ b/tests/membership/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-// Identifiers and addresses of engines that come and go.
+// Tests that identifiers and addresses stay stable while engines are added and removed.
 #include "membership/endpoint_registry.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace sablelink::test {
 namespace {
 
-TEST(EndpointRegistry, EnginesRemovedLongAgoAreForgotten) {
+TEST(EndpointRegistry, EnginesRemovedLongAgo_AreEvicted) {
   membership::EndpointRegistry registry;
   config::EngineConfig permanent;
   permanent.name = "permanent";
@@ -22,15 +22,15 @@
     transient.name = "n" + std::to_string(i);
     transient.address = "10.0.0.2:1";
     registry.replace({permanent, transient});
-    EXPECT_TRUE(ids.insert(registry.endpoints()[1].engine).second) << "an id was given twice";
+    EXPECT_TRUE(ids.insert(registry.endpoints()[1].engine).second) << "an id was reused";
     if (i == 0) permanent_id = registry.endpoints()[0].engine;
     EXPECT_EQ(registry.endpoints()[0].engine, permanent_id);
     EXPECT_EQ(registry.address(registry.endpoints()[1].engine), transient.address);
   }
-  size_t remembered = 0;
-  for (const EngineId id : ids) remembered += !registry.address(id).empty();
-  EXPECT_LE(remembered, membership::EndpointRegistry::kMaxRemovedEngines + 1);
-  EXPECT_GE(remembered, 200u);
+  size_t retained = 0;
+  for (const EngineId id : ids) retained += !registry.address(id).empty();
+  EXPECT_LE(retained, membership::EndpointRegistry::kMaxRemovedEngines + 1);
+  EXPECT_GE(retained, 200u);
   EXPECT_EQ(registry.address(permanent_id), permanent.address);
 }
 
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -1,5 +1,5 @@
-// The program as a process on loopback sockets: start, reload and graceful shutdown on the users' platform.
-// Limits on waiting are generous, as the tests are about what happens and not when.
+// Runs the program as a process on loopback sockets: start, reload and graceful shutdown on the users'
+// platform. Time limits are generous, as the tests check results and not their timing.
 #include <gtest/gtest.h>
 
 #include <boost/asio/co_spawn.hpp>
@@ -39,9 +39,9 @@
   }
   ~PlatformProcess() override {
     process_.reset();
-    is_ending_ = true;
-    until([&] { return open_watches_ == 0; });
-    net_.reset();
+    is_stopping_ = true;
+    run_until([&] { return open_watch_count_ == 0; });
+    network_.reset();
     loop_.poll();
     if (!HasFailure()) std::filesystem::remove_all(directory_);
   }
@@ -49,7 +49,7 @@
   // Starts a server; returns its address.
   template <typename Serve>
   std::string listen(Serve serve) {
-    return "127.0.0.1:" + std::to_string(net_->listen("127.0.0.1:0", std::move(serve)));
+    return "127.0.0.1:" + std::to_string(network_->listen("127.0.0.1:0", std::move(serve)));
   }
 
   void write_config(const std::string& changelog) {
@@ -79,31 +79,31 @@
       co_await rpc::write_all(*stream, response);
     }
   }
-  // Sends heartbeats until the client leaves or the test ends.
+  // Sends heartbeats until the client disconnects or the test ends.
   rpc::Awaitable<void> serve_changelog(StreamPtr stream, std::string name) {
     const std::optional<std::string> request = co_await stream->read(100);
     if (!request) co_return;
     watch_requests_.push_back(name + " " + *request);
-    ++open_watches_;
+    ++open_watch_count_;
     bool is_connected = true;
-    while (is_connected && !is_ending_) {
+    while (is_connected && !is_stopping_) {
       const std::string heartbeat = "1\n";
       is_connected = co_await rpc::write_all(*stream, heartbeat);
       co_await sleep_for(loop_, kSecond / 10);
     }
-    --open_watches_;
+    --open_watch_count_;
   }
-  // Sets the status of the response; 0 if the connection failed or ended without one.
+  // Sets the status of the response; 0 if the connection failed or was closed without a response.
   rpc::Awaitable<void> send_request(std::string bytes, int* status) {
-    const rpc::ConnectResult connected = co_await net_->connect(listen_, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await network_->connect(listen_, 5 * kSecond);
     const StreamPtr& stream = connected.stream;
     http::ResponseReader reader{http::MessageLimits{}};
     auto state = http::ParseStatus::kNeedMore;
     if (stream) co_await rpc::write_all(*stream, bytes);
     while (stream && state == http::ParseStatus::kNeedMore) {
-      const std::optional<std::string> piece = co_await stream->read(4096);
-      if (!piece || piece->empty()) break;
-      state = reader.feed(*piece);
+      const std::optional<std::string> chunk = co_await stream->read(4096);
+      if (!chunk || chunk->empty()) break;
+      state = reader.feed(*chunk);
     }
     *status = state == http::ParseStatus::kComplete ? reader.response().status : 0;
   }
@@ -120,7 +120,7 @@
                                "SELECT 1 FROM sales_1.orders");
   }
   // Runs the loop until the condition is true; returns false if it isn't within 30 s.
-  bool until(const std::function<bool()>& condition) {
+  bool run_until(const std::function<bool()>& condition) {
     bool is_true = false;
     const TimeUs deadline = loop_.now() + 30 * kSecond;
     std::function<void()> check = [&] {
@@ -144,17 +144,17 @@
   std::filesystem::path directory_;
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
+  std::unique_ptr<rpc::TcpTransport> network_ = std::make_unique<rpc::TcpTransport>(loop_);
   std::string listen_;  // the gateway's address
   std::string engine_;  // addresses of the test's own servers
   std::string old_changelog_;
   std::string new_changelog_;
   TimeUs service_time_us_ = 0;
   TimeUs request_timeout_us_ = 20 * kSecond;
-  bool engine_hangs_ = false;  // it reads calls and responds to none
+  bool engine_hangs_ = false;  // the engine reads calls but never responds
   int statements_started_ = 0;
-  int open_watches_ = 0;
-  bool is_ending_ = false;
+  int open_watch_count_ = 0;
+  bool is_stopping_ = false;
   std::vector<std::string> watch_requests_;
   std::unique_ptr<badday::Process> process_;
 };
@@ -165,33 +165,33 @@
   int first = -1;
   start_request(http::write_request("GET", "/healthz", "h", {}), &health);
   start_request(statement_request(1), &first);
-  EXPECT_TRUE(until([&] { return health >= 0 && first >= 0; }));
+  EXPECT_TRUE(run_until([&] { return health >= 0 && first >= 0; }));
   EXPECT_EQ(health, 200);
   EXPECT_EQ(first, 200);
-  EXPECT_TRUE(until([&] { return !watch_requests_.empty(); }));
+  EXPECT_TRUE(run_until([&] { return !watch_requests_.empty(); }));
   EXPECT_EQ(watch_requests_.front(), "old since 1\n");
 
-  // A configuration that can't be parsed leaves the old one in force; the next valid one is applied.
+  // An invalid configuration is ignored and the previous one stays active; the next valid one is applied.
   std::ofstream(directory_ / "config.json") << "{\"name\":";
   process_->signal(SIGHUP);
   int second = -1;
   start_request(statement_request(2), &second);
-  EXPECT_TRUE(until([&] { return second >= 0; }));
+  EXPECT_TRUE(run_until([&] { return second >= 0; }));
   EXPECT_EQ(second, 200);
   write_config(new_changelog_);
   process_->signal(SIGHUP);
-  EXPECT_TRUE(until([&] { return watch_requests_.back() == "new since 1\n"; }));
+  EXPECT_TRUE(run_until([&] { return watch_requests_.back() == "new since 1\n"; }));
 
-  // Requests that are open at SIGTERM, and those that arrive right after it, are served.
+  // Requests that are open at SIGTERM or arrive right after it are served.
   service_time_us_ = 300'000;
   int open = -1;
   int after = -1;
   const int started_before = statements_started_;
   start_request(statement_request(3), &open);
-  EXPECT_TRUE(until([&] { return statements_started_ > started_before; }));
+  EXPECT_TRUE(run_until([&] { return statements_started_ > started_before; }));
   process_->signal(SIGTERM);
   start_request(statement_request(4), &after);
-  EXPECT_TRUE(until([&] { return open >= 0 && after >= 0; }));
+  EXPECT_TRUE(run_until([&] { return open >= 0 && after >= 0; }));
   EXPECT_EQ(open, 200);
   EXPECT_EQ(after, 200);
   int status = -1;
@@ -199,7 +199,7 @@
   EXPECT_EQ(status, 0);
 }
 
-// The requests' deadlines are long after the platform's SIGKILL.
+// The deadline of the request is long after the time at which the platform sends SIGKILL.
 TEST_F(PlatformProcess, GracefulShutdown_CompletesRequestsOfHungEngineBeforeTheKill) {
   request_timeout_us_ = 300 * kSecond;
   engine_hangs_ = true;
@@ -207,11 +207,11 @@
   start();
   int open = -1;
   start_request(statement_request(1, "300000"), &open);
-  EXPECT_TRUE(until([&] { return statements_started_ > 0; }));
+  EXPECT_TRUE(run_until([&] { return statements_started_ > 0; }));
   process_->signal(SIGTERM);
   process_->signal(SIGTERM);
   process_->signal(SIGHUP);
-  EXPECT_TRUE(until([&] { return open >= 0; }));
+  EXPECT_TRUE(run_until([&] { return open >= 0; }));
   EXPECT_EQ(open, 503);
   int status = -1;
   EXPECT_TRUE(process_->wait_end(30 * kSecond, &status));
--- a/tests/simulator_adapter/codec_test.cpp
+++ b/tests/simulator_adapter/codec_test.cpp
@@ -1,4 +1,4 @@
-// The codec against the byte examples of the wire's description, and on input that is malformed.
+// Tests of the codec with the byte examples of the wire's description and with malformed input.
 #include "simulator_adapter/codec.h"
 
 #include <gtest/gtest.h>
@@ -27,52 +27,52 @@
 constexpr EngineId kEngine = 0x0a124a07138bull;
 
 TEST(Codec, BatchHeader_ExampleBytes_IsRead) {
-  const BatchHeader h = read_batch_header(from_hex("5a5c800000000000 3a000000"));
-  EXPECT_EQ(h.now, 0x805c5a);
-  EXPECT_EQ(h.body_bytes, 0x3au);
+  const BatchHeader header = read_batch_header(from_hex("5a5c800000000000 3a000000"));
+  EXPECT_EQ(header.now, 0x805c5a);
+  EXPECT_EQ(header.body_bytes, 0x3au);
 }
 
 TEST(Codec, Request_ExampleBytes_IsRead) {
   const std::string bytes =
       from_hex("c4913a5d 0000 0000 640ad2557c3bf091 da05840000000000 e02e0000 0000c043 00003041 01");
   FrameReader in(bytes);
-  const QueryRequest r = read_request(in);
+  const QueryRequest request = read_request(in);
   EXPECT_TRUE(in.empty());
-  EXPECT_EQ(r.id, 0x5d3a91c4u);
-  EXPECT_EQ(r.class_index, 0);
-  EXPECT_EQ(r.key, 0x91f03b7c55d20a64ull);
-  EXPECT_EQ(r.deadline, 0x8405da);
-  EXPECT_DOUBLE_EQ(r.estimated_cost_us.value(), 12000);
-  EXPECT_DOUBLE_EQ(r.estimated_memory_mb, 384);
-  EXPECT_EQ(r.table_group, 11);
-  EXPECT_FALSE(r.is_client_retry);
+  EXPECT_EQ(request.id, 0x5d3a91c4u);
+  EXPECT_EQ(request.class_index, 0);
+  EXPECT_EQ(request.key, 0x91f03b7c55d20a64ull);
+  EXPECT_EQ(request.deadline, 0x8405da);
+  EXPECT_DOUBLE_EQ(request.estimated_cost_us.value(), 12000);
+  EXPECT_DOUBLE_EQ(request.estimated_memory_mb, 384);
+  EXPECT_EQ(request.table_group, 11);
+  EXPECT_FALSE(request.is_client_retry);
 }
 
 TEST(Codec, AttemptCompletion_WithCostAndLoadReport_IsRead) {
   const std::string bytes =
       from_hex("c4913a5d 00 0a124a07 8b13 6400 44480000 01 60100100 04 0000e040 00004040 cdcccc3e 0000a03f");
   FrameReader in(bytes);
-  const AttemptCompletion e = read_attempt_completion(in, true, {"concurrent", "depth", "x0", "x1"});
+  const AttemptCompletion completion = read_attempt_completion(in, true, {"concurrent", "depth", "x0", "x1"});
   EXPECT_TRUE(in.empty());
-  EXPECT_EQ(e.engine, kEngine);
-  EXPECT_EQ(e.outcome, Outcome::kOk);
-  EXPECT_EQ(e.duration_us, 18500);
-  EXPECT_TRUE(e.request_finished);
-  EXPECT_DOUBLE_EQ(e.work_us.value(), 17000);
-  EXPECT_DOUBLE_EQ(e.memory_used_mb.value(), 384);
-  EXPECT_DOUBLE_EQ(e.load_report->in_flight.value(), 7);
-  EXPECT_DOUBLE_EQ(e.load_report->waiting_for_memory.value(), 3);
-  EXPECT_NEAR(e.load_report->memory_utilization.value(), 0.4, 1e-6);
-  EXPECT_FALSE(e.load_report->cpu_utilization.has_value());
+  EXPECT_EQ(completion.engine, kEngine);
+  EXPECT_EQ(completion.outcome, Outcome::kOk);
+  EXPECT_EQ(completion.duration_us, 18500);
+  EXPECT_TRUE(completion.request_finished);
+  EXPECT_DOUBLE_EQ(completion.work_us.value(), 17000);
+  EXPECT_DOUBLE_EQ(completion.memory_used_mb.value(), 384);
+  EXPECT_DOUBLE_EQ(completion.load_report->in_flight.value(), 7);
+  EXPECT_DOUBLE_EQ(completion.load_report->waiting_for_memory.value(), 3);
+  EXPECT_NEAR(completion.load_report->memory_utilization.value(), 0.4, 1e-6);
+  EXPECT_FALSE(completion.load_report->cpu_utilization.has_value());
 }
 
 TEST(Codec, ProgressUpdate_ExampleBytes_IsRead) {
   const std::string bytes = from_hex("c4913a5d 00 0a124a07 8b13 01 0000003f");
   FrameReader in(bytes);
-  const ProgressUpdate n = read_progress(in);
-  EXPECT_EQ(n.kind, ProgressKind::kProgress);
-  EXPECT_EQ(n.engine, kEngine);
-  EXPECT_DOUBLE_EQ(n.value, 0.5);
+  const ProgressUpdate update = read_progress(in);
+  EXPECT_EQ(update.kind, ProgressKind::kProgress);
+  EXPECT_EQ(update.engine, kEngine);
+  EXPECT_DOUBLE_EQ(update.value, 0.5);
 }
 
 TEST(Codec, EndpointList_ExampleBytes_IsRead) {
@@ -89,7 +89,7 @@
   EXPECT_EQ(entries[1].started_at, 0x5d1420);
 }
 
-TEST(FrameWriter, ActionsOfTwoInstances_GetAContextRecordEach) {
+TEST(FrameWriter, ActionsOfTwoInstances_HaveAContextRecordPerInstance) {
   FrameWriter out;
   out.select_instance(3);
   out.send_attempt(0x5d3a91c4, kEngine, 0x013880);
@@ -110,7 +110,7 @@
   EXPECT_EQ(out.take_frame(), from_hex("18000000 06 0300 02 c4913a5d 02 00002044 0e ffffffff 0400 68206937"));
 }
 
-// Selects instance 3 and starts it with these settings: two records.
+// Returns two records, which select instance 3 and start it with the settings.
 std::string instance_started(const std::string& settings) {
   std::string out = from_hex("0d 0300 01 0100000000000000");
   const size_t n = settings.size();
@@ -144,7 +144,8 @@
   EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0d 03")), ProtocolError) << "truncated";
   EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0d 0300 ff")), ProtocolError) << "too long";
   EXPECT_THROW(host.handle_batch(1, from_hex("02000000 0d 0300 63")), ProtocolError) << "unknown code";
-  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 07 01000000")), ProtocolError) << "no instance named";
+  EXPECT_THROW(host.handle_batch(1, from_hex("01000000 07 01000000")), ProtocolError)
+      << "no instance selected";
   EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0c 10 00000000")), ProtocolError)
       << "ledger out of range";
   EXPECT_THROW(host.handle_batch(1, from_hex("01000000 0c 00 ffffffff")), ProtocolError) << "entries missing";
