--- a/src/workload/admission.cpp
+++ b/src/workload/admission.cpp
@@ -10,7 +10,8 @@
 namespace sablelink {
 namespace {
 
-constexpr double kWastefulMultiple = 1.3;  // of its useful time, after which an attempt is cancelled
+// Multiple of the time during which a response is useful; a query in flight for longer is cancelled.
+constexpr double kCancelAfterUsefulTimeMultiple = 1.3;
 constexpr TimeUs kMinRetryAfterUs = 200 * kMillisecondUs;
 
 }  // namespace
@@ -23,23 +24,23 @@
 
 std::vector<Query*> Admission::take_parked() { return std::exchange(parked_, {}); }
 
-bool Admission::is_due(const Query& query, TimeUs now) const {
+bool Admission::is_near_deadline(const Query& query, TimeUs now) const {
   return now + 2 * settings_.tick_us + kHousekeepingIntervalUs >= query.request.deadline;
 }
 
-bool Admission::is_hopeless(const Query& query, TimeUs now) const {
+bool Admission::is_expected_useless(const Query& query, TimeUs now) const {
   if (query.attempt_in_flight) return false;
   const double duration_us =
       query.engine == nullptr ? 0 : cost_model_.expected_duration_us(query, *query.engine, now);
   return now + kOptimisticDurationFraction * duration_us >= useful_until(cost_model_, query);
 }
 
-// Without an estimate the latency objective, which grows with the work, isn't known.
-bool Admission::is_wasteful(const Query& query, TimeUs now) const {
+// Without a cost estimate the latency objective is unknown, as it grows with the work.
+bool Admission::should_cancel_useless_attempt(const Query& query, TimeUs now) const {
   if (!query.attempt_in_flight || !query.request.estimated_cost_us) return false;
-  if (!settings_.cancellation_allowed || !RetryPolicy::may_reject(query)) return false;
+  if (!settings_.cancellation_allowed || !RetryPolicy::is_rejection_safe(query)) return false;
   const TimeUs useful_us = useful_until(cost_model_, query) - query.arrived_at;
-  return now > query.arrived_at + kWastefulMultiple * useful_us;
+  return now > query.arrived_at + kCancelAfterUsefulTimeMultiple * useful_us;
 }
 
 TimeUs Admission::retry_after_us(const EngineMap& engines, TimeUs now) const {
--- a/src/workload/admission.h
+++ b/src/workload/admission.h
@@ -1,5 +1,5 @@
-// Which queries wait although no engine can take them, which are given up, and when a rejected client may
-// retry.
+// Keeps queries that no engine can take yet, decides which queries end without a useful response, and
+// computes Retry-After.
 #pragma once
 
 #include <vector>
@@ -19,19 +19,19 @@
   Admission(const Settings& settings, const CostModel& cost_model, const LoadEstimator& load_estimator)
       : settings_(settings), cost_model_(cost_model), load_estimator_(load_estimator) {}
 
-  /// Keeps a query that nothing can take now, until take_parked().
+  /// Keeps a query that cannot be placed now until take_parked().
   void park(Query& query);
   void unpark(const Query& query);
   std::vector<Query*> take_parked();
 
-  /// Whether the query needs its final response before its deadline is missed.
-  bool is_due(const Query& query, TimeUs now) const;
-  /// Whether the query, which isn't in flight, can't be useful any more.
-  bool is_hopeless(const Query& query, TimeUs now) const;
-  /// Whether the query's attempt in flight is to be cancelled, as it can't be useful any more and holds
-  /// capacity that others need.
-  bool is_wasteful(const Query& query, TimeUs now) const;
-  /// Retry-After for a client whose query is rejected; 0: none.
+  /// Whether the deadline is so near that the final response must be sent now.
+  bool is_near_deadline(const Query& query, TimeUs now) const;
+  /// Whether a query that is not in flight is not expected to finish while its response is still useful.
+  bool is_expected_useless(const Query& query, TimeUs now) const;
+  /// Whether to cancel the query's attempt in flight: its response can no longer be useful, and it occupies
+  /// capacity that other queries need.
+  bool should_cancel_useless_attempt(const Query& query, TimeUs now) const;
+  /// Retry-After value for the client of a rejected query; 0: none.
   TimeUs retry_after_us(const EngineMap& engines, TimeUs now) const;
 
  private:
--- a/src/workload/concurrency_limiter.cpp
+++ b/src/workload/concurrency_limiter.cpp
@@ -8,14 +8,17 @@
 namespace sablelink {
 namespace {
 
-constexpr double kPressureFraction = 0.8;  // of the concurrency limit in flight: the quota binds
-constexpr TimeUs kOverloadMemoryUs = kSecondUs;
-constexpr double kStartFraction = 0.5;  // a query starts when this fraction of its threads is free
+// Fraction of an engine's concurrency limit from which the gateway's quota applies.
+constexpr double kPressureLimitFraction = 0.8;
+constexpr TimeUs kOverloadPressureUs = kSecondUs;
+constexpr double kMinFreeThreadsFraction = 0.5;  // of a query's threads, for it to start
 
-// Fractions of the fleet's limit in flight from which queries wait for their gateway's quota.
-constexpr double kPrioritizedHeavyFraction = 1;  // engines start the queries of higher priority first
-constexpr double kHeavyFraction = 0.65;
-constexpr double kOvercommitLightFraction = 1.8;  // engines that overcommit their memory slow down for all
+// Load of the fleet, as a fraction of its limit, above which queries wait until their gateway is below its
+// quota.
+constexpr double kMaxFleetLoadForPrioritizedHeavy = 1;  // engines start queries of higher priority first
+constexpr double kMaxFleetLoadForHeavy = 0.65;
+// For engines that overcommit memory, which slows down all their queries.
+constexpr double kMaxFleetLoadForOvercommitLight = 1.8;
 
 }  // namespace
 
@@ -27,17 +30,17 @@
 }
 
 void ConcurrencyLimiter::refresh(const EngineMap& engines, TimeUs now) {
-  local_threads_ = 0;
-  fleet_limit_threads_ = 0;
+  local_in_flight_threads_ = 0;
+  ready_limit_threads_ = 0;
   for (const auto& [id, engine] : engines) {
     if (!engine.is_ready()) continue;
-    local_threads_ += engine.in_flight_threads();
-    fleet_limit_threads_ += concurrency_limit_threads(settings_, engine, now);
+    local_in_flight_threads_ += engine.in_flight_threads();
+    ready_limit_threads_ += concurrency_limit_threads(settings_, engine, now);
   }
 }
 
 void ConcurrencyLimiter::on_engine_overloaded(Engine& engine, TimeUs now) {
-  engine.overload.rejected_at = now;
+  engine.overload.last_rejection_at = now;
 }
 
 double ConcurrencyLimiter::local_quota_threads(const Engine& engine, TimeUs now) const {
@@ -55,24 +58,25 @@
 }
 
 bool ConcurrencyLimiter::has_capacity_for(const Query& query, double free_threads, TimeUs now) const {
-  const double needed_threads = kStartFraction * query.class_settings->threads;
+  const double needed_threads = kMinFreeThreadsFraction * query.class_settings->threads;
   if (free_threads < needed_threads) return false;
-  double fraction = settings_.engines_honor_priorities ? kPrioritizedHeavyFraction : kHeavyFraction;
+  double fraction =
+      settings_.engines_honor_priorities ? kMaxFleetLoadForPrioritizedHeavy : kMaxFleetLoadForHeavy;
   if (cost_model_.is_light(query)) {
     if (settings_.memory_pressure_policy != MemoryPressurePolicy::kOvercommit) return true;
-    fraction = kOvercommitLightFraction;
+    fraction = kMaxFleetLoadForOvercommitLight;
   }
-  const double fleet_threads = local_threads_ + load_estimator_.fleet_remote_threads(now);
-  if (fleet_threads <= fraction * fleet_limit_threads_) return true;
-  return local_threads_ + needed_threads <=
-         std::max(fleet_limit_threads_ / settings_.gateway_count, max_class_threads_);
+  const double fleet_threads = local_in_flight_threads_ + load_estimator_.fleet_remote_threads(now);
+  if (fleet_threads <= fraction * ready_limit_threads_) return true;
+  return local_in_flight_threads_ + needed_threads <=
+         std::max(ready_limit_threads_ / settings_.gateway_count, max_class_threads_);
 }
 
 bool ConcurrencyLimiter::is_under_pressure(const Engine& engine, TimeUs now) const {
-  const TimeUs rejected_at = engine.overload.rejected_at;
+  const TimeUs last_rejection_at = engine.overload.last_rejection_at;
   return engine.in_flight_threads() + load_estimator_.remote_threads(engine, now) >=
-             kPressureFraction * concurrency_limit_threads(settings_, engine, now) ||
-         (rejected_at > 0 && now - rejected_at < kOverloadMemoryUs);
+             kPressureLimitFraction * concurrency_limit_threads(settings_, engine, now) ||
+         (last_rejection_at > 0 && now - last_rejection_at < kOverloadPressureUs);
 }
 
 }  // namespace sablelink
--- a/src/workload/decision_parts.h
+++ b/src/workload/decision_parts.h
@@ -1,4 +1,4 @@
-// What the gateway knows: the parts that learn from events and limit sends.
+// The components that hold the gateway's state, learn from events and limit sends.
 #pragma once
 
 #include <utility>
@@ -18,7 +18,7 @@
 
 namespace sablelink {
 
-/// Each part owns its state, refers to earlier ones alone and is not known to them.
+/// Each component owns its state and refers only to components declared before it.
 struct DecisionParts {
   DecisionParts(Settings initial_settings, uint64_t seed)
       : settings(std::move(initial_settings)), random(seed) {}
--- a/src/workload/engine.h
+++ b/src/workload/engine.h
@@ -1,5 +1,5 @@
-// An engine as the workload manager sees it: its endpoint, the queries there and what each part knows about
-// it.
+// The workload manager's view of an engine: its endpoint, the queries queued or in flight there and the state
+// that each component keeps for it.
 #pragma once
 
 #include <vector>
@@ -15,23 +15,23 @@
 
 namespace sablelink {
 
-/// Owned by the workload manager. Of the members below the queues, each is changed by one part alone.
+/// Owned by the workload manager. Each member below the queues is changed by a single component.
 struct Engine {
   Endpoint endpoint;
   double cores = 0;
-  std::vector<Query*> queue;      // not sent yet, in starting order
-  std::vector<Query*> in_flight;  // sent, without an outcome so far, in sending order
-  int64_t last_table_group = -1;  // of the query that was started there last; -1: none
+  std::vector<Query*> queue;              // not sent yet, in the order in which they start
+  std::vector<Query*> in_flight;          // sent and without an outcome so far, in the order of their sends
+  int64_t last_started_table_group = -1;  // table group of the query sent last; -1: none
   EngineLatency latency;
   EngineLoad load;
   EngineOverload overload;
   EngineHealth health;
   SlowStartState slow_start;
-  TimeUs health_check_sent_at = 0;  // 0: none is awaited
+  TimeUs pending_health_check_sent_at = 0;  // 0: no health check is pending
 
   bool is_ready() const { return endpoint.state == EndpointState::kReady; }
 
-  /// Threads of this gateway's queries in flight there.
+  /// Number of threads of this gateway's queries in flight on the engine.
   double in_flight_threads() const {
     double threads = 0;
     for (const Query* query : in_flight) threads += query->class_settings->threads;
--- a/src/workload/engine_queue.cpp
+++ b/src/workload/engine_queue.cpp
@@ -13,7 +13,7 @@
          (query.class_settings->writes_tables || query.class_settings->blocked_by_table_loads);
 }
 
-// 1 within a table group, -1 where one of them blocks the other, else 0.
+// 1 if both have the same table group, -1 if in addition one blocks the other, otherwise 0.
 int interaction(const Query& a, const Query& b) {
   if (a.request.table_group < 0 || a.request.table_group != b.request.table_group) return 0;
   return is_blocked_by(a, b) || is_blocked_by(b, a) ? -1 : 1;
@@ -26,7 +26,7 @@
   if (queue.empty()) {
     for (const Query* other : engine.in_flight)
       if (interaction(*other, query) < 0) return -1;
-    return query.request.table_group >= 0 && query.request.table_group == engine.last_table_group;
+    return query.request.table_group >= 0 && query.request.table_group == engine.last_started_table_group;
   }
   if (position == 0) return interaction(query, *queue[0]);
   const Query& before = *queue[position - 1];
@@ -44,8 +44,9 @@
       outlier_detector_(outlier_detector),
       send_guard_(send_guard) {}
 
-// Queries in time go first, or a misjudged wait would make all of them late; those that need more threads
-// than are free let lighter ones pass.
+// Queries that can still meet their objective start first: otherwise, after one wait that was estimated too
+// short, late queries at the head would make all others late as well. A query that needs more threads than
+// are free lets lighter queries pass.
 Query* EngineQueueScheduler::take_next(Engine& engine, TimeUs now) const {
   std::vector<Query*>& queue = engine.queue;
   if (queue.empty()) return nullptr;
@@ -67,7 +68,7 @@
   return query;
 }
 
-bool EngineQueueScheduler::has_stealable(const Engine& engine, TimeUs now) const {
+bool EngineQueueScheduler::has_stealable_query(const Engine& engine, TimeUs now) const {
   return std::any_of(engine.queue.begin(), engine.queue.end(), [&](const Query* query) {
     return is_in_time(*query, now) && limiter_.has_capacity_for(*query, query->class_settings->threads, now);
   });
--- a/src/workload/engine_queue.h
+++ b/src/workload/engine_queue.h
@@ -1,4 +1,4 @@
-// The order in which queued queries start on their engine, or on one that has become idle.
+// The order in which queued queries start on their engine or on another engine that has become idle.
 #pragma once
 
 #include <cstddef>
@@ -14,9 +14,9 @@
 
 namespace sablelink {
 
-/// What the query gains at a position in the engine's queue from its neighbours' table groups: queries of one
-/// group share cached data, but a table load blocks others of its group. In an empty queue the neighbours are
-/// what is in flight and what was started last.
+/// Interaction gain of the query at a position in the engine's queue, by the table groups of its neighbours:
+/// queries of one group share cached data, but a table load blocks other queries of its group. In an empty
+/// queue the neighbours are the queries in flight and the query sent last.
 int interaction_gain(const Engine& engine, const Query& query, size_t position);
 
 class EngineQueueScheduler {
@@ -26,12 +26,13 @@
                        const ConcurrencyLimiter& limiter, const OutlierDetector& outlier_detector,
                        SendGuard& send_guard);
 
-  /// Removes the query that starts next from the engine's queue; null where none may start now.
+  /// Removes and returns the query that starts next from the engine's queue; null if none may start now.
   Query* take_next(Engine& engine, TimeUs now) const;
-  /// Whether the engine's queue has a query that could start elsewhere and be in time.
-  bool has_stealable(const Engine& engine, TimeUs now) const;
-  /// The query, of those queued at the sources, that the thief should start; null: none. Queries are moved
-  /// from longer drain times to shorter ones only, and not once they have missed their latency objective.
+  /// Whether the engine's queue contains a query that another engine could start before its latency
+  /// objective.
+  bool has_stealable_query(const Engine& engine, TimeUs now) const;
+  /// Returns the queued query of the source engines that the thief should start; null if there is none.
+  /// Queries move only to an engine with a shorter drain time, and only before their latency objective.
   Query* choose_to_steal(Engine& thief, const std::vector<Engine*>& sources, TimeUs now) const;
 
  private:
--- a/src/workload/health_checker.h
+++ b/src/workload/health_checker.h
@@ -1,4 +1,5 @@
-// Decides when engines' health is checked, and what the duration of a health check says about an engine.
+// Decides when to check the health of engines, and derives an engine's load from the duration of a health
+// check.
 #pragma once
 
 #include <map>
@@ -14,27 +15,28 @@
 
 namespace sablelink {
 
-/// Where load reports come with health checks alone, a few engines are checked before each heavy query is
-/// placed: few queries bear the cost, and all benefit from the reports.
+/// If only health checks return load reports, a few engines are checked before each heavy query is placed:
+/// only few queries bear the cost of health checks, and all queries benefit from the reports.
 class HealthChecker {
  public:
   /// All must outlive this object.
   HealthChecker(const Settings& settings, const CostModel& cost_model, Random& random)
       : settings_(settings), cost_model_(cost_model), random_(random) {}
 
-  /// Chooses the engines to check before the query is placed, at most once for each query, and marks both as
-  /// waiting. The caller sends the health checks; empty: none is needed.
+  /// Chooses the engines to check before the query is placed, at most once per query, and marks the query and
+  /// the engines as waiting for the responses. The caller sends the health checks. Empty if none is needed.
   std::vector<Engine*> start_checks(Query& query, const std::vector<PlacementCandidate>& candidates,
                                     TimeUs now);
-  /// Returns the multiple of its concurrency limit at which the engine runs at the least, 0 where unknown. A
-  /// health check runs beside the engine's queries, so it slows down with them where busy cores look idle.
+  /// Returns a lower bound of the engine's load as a multiple of its concurrency limit; 0 if unknown. A
+  /// health check competes with the engine's queries, so its duration shows a saturation that CPU utilization
+  /// doesn't: cores look idle while they wait for disks.
   double on_completed(Engine& engine, Outcome outcome, TimeUs duration_us);
 
  private:
   const Settings& settings_;
   const CostModel& cost_model_;
   Random& random_;
-  std::map<int, TimeUs> min_duration_us_;  // by zone
+  std::map<int, TimeUs> min_duration_us_;  // shortest duration of a health check, by zone
 };
 
 }  // namespace sablelink
--- a/src/workload/housekeeping.h
+++ b/src/workload/housekeeping.h
@@ -1,4 +1,4 @@
-// The pace of the checks that no event triggers.
+// Intervals of the periodic checks that no event triggers.
 #pragma once
 
 #include "workload/types.h"
@@ -6,7 +6,8 @@
 namespace sablelink {
 
 constexpr TimeUs kHousekeepingIntervalUs = 20 * kMillisecondUs;
-/// Without any event for this long the gateway's own process stalled, as housekeeping comes far more often.
+/// A longer time without any event means that the gateway's process stalled: housekeeping alone causes events
+/// far more often.
 constexpr TimeUs kStallThresholdUs = 150 * kMillisecondUs;
 
 }  // namespace sablelink
--- a/src/workload/key_ordering.h
+++ b/src/workload/key_ordering.h
@@ -1,4 +1,4 @@
-// Runs the queries of one key one at a time, in the order of their arrival.
+// Runs queries with the same key one at a time, in the order of their arrival.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +10,17 @@
 
 namespace sablelink {
 
-/// One queue per key, over all classes that are ordered by key. Queries of other classes, and those without a
-/// key, are never held back.
+/// One queue per key, shared by all classes that are ordered by key. Queries of other classes and queries
+/// without a key are never delayed.
 class KeyOrdering {
  public:
   void add(const Query& query);
   void remove(const Query& query, TimeUs now);
-  /// Starts no other query of this one's key before the time given: an attempt of it may still be running.
+  /// Delays the start of other queries with this query's key until the given time, as an attempt of this
+  /// query may still be running.
   void delay_key_until(const Query& query, TimeUs until);
-  /// Whether the query is at the head of its key's queue and the key isn't delayed. A retry needs no wait.
+  /// Whether the query is at the head of its key's queue and the key isn't delayed. The delay doesn't apply
+  /// to retries.
   bool may_start(const Query& query, TimeUs now) const;
 
  private:
--- a/src/workload/latency_objective.h
+++ b/src/workload/latency_objective.h
@@ -1,4 +1,4 @@
-// What a response is worth by the time at which it is finished.
+// Priority weight of a response as a function of the time at which it is finished.
 #pragma once
 
 #include "workload/cost_model.h"
@@ -7,16 +7,17 @@
 
 namespace sablelink {
 
-/// Predicted durations are doubted: a query is rejected only if even this fraction of them is too long.
+/// Predicted durations are uncertain: a query is rejected only if even this fraction of its predicted
+/// duration is too long.
 constexpr double kOptimisticDurationFraction = 0.7;
 
-/// Until then a response has its full priority weight. Never after the query's deadline.
+/// Time until which a response has its full priority weight; at most the query's deadline.
 TimeUs latency_objective_at(const CostModel& cost_model, const Query& query);
 
-/// Priority weight that a response still has when it is finished at the time given (in microseconds).
+/// Priority weight of a response that is finished at the given time (in microseconds).
 double weight_at(const CostModel& cost_model, const Query& query, double finished_at);
 
-/// From then on a response is useless.
+/// Time from which a response has no priority weight and is useless.
 TimeUs useful_until(const CostModel& cost_model, const Query& query);
 
 }  // namespace sablelink
--- a/src/workload/load_estimator.cpp
+++ b/src/workload/load_estimator.cpp
@@ -14,109 +14,113 @@
 constexpr TimeUs kReportSmoothingUs = 400 * kMillisecondUs;
 constexpr TimeUs kFleetReportSmoothingUs = kSecondUs;
 constexpr TimeUs kLocalLoadSmoothingUs = 4 * kSecondUs;
-constexpr TimeUs kReportDecayUs =
-    3 * kSecondUs;  // of a report to the fleet's mean, and of that to the local load
+constexpr TimeUs kReportDecayUs = 3 * kSecondUs;  // of an engine's report towards the fleet's mean, and of
+                                                  // the fleet's mean towards the local load
 
 constexpr double kMinReportWeight = 0.1;
 constexpr double kMinFleetReportWeight = 0.02;
-constexpr double kMinLocalQueries = 0.02;  // fewer in flight, smoothed, say nothing about the typical query
+// With fewer queries in flight, on average, no means per query are derived.
+constexpr double kMinLocalQueries = 0.02;
 
 bool is_usable(const std::optional<double>& value) { return value && std::isfinite(*value) && *value >= 0; }
 
 }  // namespace
 
-void LoadEstimator::on_engine_started(Engine& engine, TimeUs now) { engine.load.smoothed_at = now; }
+void LoadEstimator::on_engine_started(Engine& engine, TimeUs now) { engine.load.local_smoothed_at = now; }
 
 void LoadEstimator::refresh(EngineMap& engines, TimeUs now) {
   double queries = 0;
   double threads = 0;
   double remaining_work_us = 0;
   double memory_mb = 0;
-  fleet_cores_ = 0;
+  ready_cores_ = 0;
   for (auto& [id, engine] : engines) {
     EngineLoad& load = engine.load;
-    const TimeUs elapsed_us = now - load.smoothed_at;
-    load.smoothed_at = now;
-    load.local_in_flight += std::min(1.0, 1.0 * elapsed_us / kReportSmoothingUs) *
-                            (engine.in_flight.size() - load.local_in_flight);
+    const TimeUs elapsed_us = now - load.local_smoothed_at;
+    load.local_smoothed_at = now;
+    load.smoothed_local_queries += std::min(1.0, 1.0 * elapsed_us / kReportSmoothingUs) *
+                                   (engine.in_flight.size() - load.smoothed_local_queries);
     for (const Query* query : engine.in_flight) {
       remaining_work_us += cost_model_.remaining_work_us(*query, engine, now);
       memory_mb += cost_model_.memory_grant_mb(*query, engine);
     }
     queries += engine.in_flight.size();
     threads += engine.in_flight_threads();
-    if (engine.is_ready()) fleet_cores_ += engine.cores;
+    if (engine.is_ready()) ready_cores_ += engine.cores;
   }
   const double rate = 1.0 * kHousekeepingIntervalUs / kLocalLoadSmoothingUs;
-  local_queries_ += rate * (queries - local_queries_);
-  local_threads_ += rate * (threads - local_threads_);
-  local_remaining_work_us_ += rate * (remaining_work_us - local_remaining_work_us_);
-  local_memory_mb_ += rate * (memory_mb - local_memory_mb_);
-  if (local_queries_ < kMinLocalQueries) return;
-  threads_per_query_ = local_threads_ / local_queries_;
-  remaining_work_per_query_us_ = local_remaining_work_us_ / local_queries_;
-  memory_per_query_mb_ = local_memory_mb_ / local_queries_;
+  smoothed_local_queries_ += rate * (queries - smoothed_local_queries_);
+  smoothed_local_threads_ += rate * (threads - smoothed_local_threads_);
+  smoothed_local_remaining_work_us_ += rate * (remaining_work_us - smoothed_local_remaining_work_us_);
+  smoothed_local_memory_mb_ += rate * (memory_mb - smoothed_local_memory_mb_);
+  if (smoothed_local_queries_ < kMinLocalQueries) return;
+  threads_per_query_ = smoothed_local_threads_ / smoothed_local_queries_;
+  remaining_work_per_query_us_ = smoothed_local_remaining_work_us_ / smoothed_local_queries_;
+  memory_per_query_mb_ = smoothed_local_memory_mb_ / smoothed_local_queries_;
 }
 
 void LoadEstimator::on_load_report(Engine& engine, const LoadReport& report, double saturation, TimeUs now) {
-  const std::optional<double> reported = reported_in_flight(report, engine, now);
+  const std::optional<double> reported = reported_queries(report, engine, now);
   const double min_in_flight =
       saturation > 0 ? saturation * concurrency_limit_threads(settings_, engine, now) / threads_per_query_
                      : 0;
   if (!reported && min_in_flight <= 0) return;
   EngineLoad& load = engine.load;
-  const double remote = std::max(0.0, std::max(reported.value_or(0), min_in_flight) - load.local_in_flight);
+  const double remote =
+      std::max(0.0, std::max(reported.value_or(0), min_in_flight) - load.smoothed_local_queries);
   const double elapsed_us = now - load.reported_at;
   const double weight = load.has_report ? 1 - std::exp(-elapsed_us / kReportSmoothingUs) : 1;
-  load.remote_in_flight += std::max(weight, kMinReportWeight) * (remote - load.remote_in_flight);
+  load.smoothed_remote_queries +=
+      std::max(weight, kMinReportWeight) * (remote - load.smoothed_remote_queries);
   load.has_report = true;
   load.reported_at = now;
   const double fleet_weight =
       fleet_reported_at_ ? 1 - std::exp(-1.0 * (now - fleet_reported_at_) / kFleetReportSmoothingUs) : 1;
-  reported_in_flight_per_core_ +=
-      std::max(fleet_weight, kMinFleetReportWeight) * (remote / engine.cores - reported_in_flight_per_core_);
+  fleet_mean_remote_queries_per_core_ += std::max(fleet_weight, kMinFleetReportWeight) *
+                                         (remote / engine.cores - fleet_mean_remote_queries_per_core_);
   fleet_reported_at_ = now;
 }
 
 double LoadEstimator::remote_threads(const Engine& engine, TimeUs now) const {
-  return remote_in_flight(engine, now) * threads_per_query_;
+  return remote_queries(engine, now) * threads_per_query_;
 }
 
 double LoadEstimator::fleet_remote_threads(TimeUs now) const {
-  return fleet_remote_in_flight_per_core(now) * fleet_cores_ * threads_per_query_;
+  return fleet_remote_queries_per_core(now) * ready_cores_ * threads_per_query_;
 }
 
 double LoadEstimator::drain_time_us(const Engine& engine, TimeUs now) const {
-  double work_us = remote_in_flight(engine, now) * remaining_work_per_query_us_;
+  double work_us = remote_queries(engine, now) * remaining_work_per_query_us_;
   for (const Query* query : engine.in_flight) work_us += cost_model_.remaining_work_us(*query, engine, now);
   for (const Query* query : engine.queue) work_us += cost_model_.work_us(*query);
   return work_us * engine.latency.current() / concurrency_limit_threads(settings_, engine, now);
 }
 
-// A report decays to the fleet's mean.
-double LoadEstimator::remote_in_flight(const Engine& engine, TimeUs now) const {
-  const double fleet_mean = fleet_remote_in_flight_per_core(now) * engine.cores *
+// The estimate moves from the engine's last report to the fleet's mean as the report ages.
+double LoadEstimator::remote_queries(const Engine& engine, TimeUs now) const {
+  const double fleet_mean = fleet_remote_queries_per_core(now) * engine.cores *
                             warmed_capacity_fraction(settings_, engine.endpoint, now);
   if (!engine.load.has_report) return fleet_mean;
-  return fleet_mean + (engine.load.remote_in_flight - fleet_mean) *
+  return fleet_mean + (engine.load.smoothed_remote_queries - fleet_mean) *
                           std::exp(-1.0 * (now - engine.load.reported_at) / kReportDecayUs);
 }
 
-// The fleet's mean decays to the local load, taken for typical. A stale mean would keep an idle gateway from
-// sending and therefore from ever receiving a new report.
-double LoadEstimator::fleet_remote_in_flight_per_core(TimeUs now) const {
-  const double typical =
-      local_threads_ * (settings_.gateway_count - 1) / std::max(fleet_cores_, 1.0) / threads_per_query_;
+// As reports age, the estimate moves from the fleet's reported mean to this gateway's own load, which is
+// assumed typical. With a mean that never aged, an idle gateway would neither send queries nor receive new
+// reports.
+double LoadEstimator::fleet_remote_queries_per_core(TimeUs now) const {
+  const double typical = smoothed_local_threads_ * (settings_.gateway_count - 1) /
+                         std::max(ready_cores_, 1.0) / threads_per_query_;
   if (fleet_reported_at_ == 0) return typical;
-  return typical + (reported_in_flight_per_core_ - typical) *
+  return typical + (fleet_mean_remote_queries_per_core_ - typical) *
                        std::exp(-1.0 * (now - fleet_reported_at_) / kReportDecayUs);
 }
 
-// Queries in flight by whichever fields the report has. Busy cores stand for their fraction of the
-// concurrency limit: they say nothing about the load beyond it, and little where memory pages. Memory in use
-// keeps growing.
-std::optional<double> LoadEstimator::reported_in_flight(const LoadReport& report, const Engine& engine,
-                                                        TimeUs now) const {
+// Estimates the queries in flight from the fields that the report has. CPU utilization counts as a fraction
+// of the concurrency limit: it does not show load above the limit, and it falls when an engine pages memory.
+// Memory utilization continues to grow with the load.
+std::optional<double> LoadEstimator::reported_queries(const LoadReport& report, const Engine& engine,
+                                                      TimeUs now) const {
   if (is_usable(report.in_flight)) return *report.in_flight;
   const int engine_type = engine.endpoint.engine_type;
   const bool memory_known =
@@ -131,7 +135,8 @@
   if (!is_usable(report.waiting_for_memory)) return in_flight;
   if (!in_flight && *report.waiting_for_memory > 0) in_flight = queries_filling_memory;
   if (!in_flight)
-    in_flight = std::min(queries_filling_memory, engine.load.local_in_flight + remote_in_flight(engine, now));
+    in_flight =
+        std::min(queries_filling_memory, engine.load.smoothed_local_queries + remote_queries(engine, now));
   return *in_flight + *report.waiting_for_memory;
 }
 
--- a/src/workload/outlier_detector.h
+++ b/src/workload/outlier_detector.h
@@ -1,4 +1,4 @@
-// Ejects engines that fail or hang, and takes them back once they answer again.
+// Ejects engines that fail or don't respond, and returns them to service once they respond again.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,11 @@
 namespace sablelink {
 
 struct EngineHealth {
-  TimeUs last_response_at = 0;      // last sign that the engine works: an outcome or a progress update
-  double error_rate = 0;            // fraction of bad outcomes, smoothed
-  TimeUs ejected_until = 0;         // 0: in service
-  TimeUs ejection_duration_us = 0;  // of the next ejection
-  int recovery_successes = 0;       // in a row since the ejection
+  TimeUs last_response_at = 0;     // last outcome or progress update
+  double smoothed_error_rate = 0;  // fraction of outcomes that are errors
+  TimeUs ejected_until = 0;        // 0: in service
+  TimeUs next_ejection_duration_us = 0;
+  int consecutive_recovery_successes = 0;  // since the ejection
 
   bool is_ejected() const { return ejected_until != 0; }
 };
@@ -30,26 +30,28 @@
       : engines_(engines), cost_model_(cost_model) {}
 
   static void on_engine_started(Engine& engine, TimeUs now);
-  /// Called whenever the engine shows that it works.
+  /// Called on each sign that the engine responds.
   static void on_response(Engine& engine, TimeUs now);
-  /// Called with the outcome of an attempt, or of a health check, that tells something about the engine.
-  /// Where the result is kShouldEject, the caller decides with eject().
+  /// Called with each outcome of an attempt or health check that depends on the engine's health. For the
+  /// result kShouldEject the caller calls eject(), which makes the decision.
   static HealthChange on_outcome(Engine& engine, Outcome outcome, TimeUs now);
-  /// Ejects the engine, or extends its ejection. False, and nothing changes, where too many engines are
-  /// ejected already: most engines fail for a cause that they share, and ejecting them would only overload
-  /// the others.
+  /// Ejects the engine or extends its ejection. Returns false without any change if too many engines are
+  /// ejected already: failures of most engines have a common cause, and ejections would only overload the
+  /// remaining engines.
   bool eject(Engine& engine, EjectionReason reason, TimeUs now) const;
-  /// Whether the engine may get the query. After its ejection it gets one light query at a time for a check.
+  /// Whether the engine may receive the query. After its ejection it receives one light query at a time as a
+  /// recovery check.
   bool accepts(const Query& query, const Engine& engine, TimeUs now) const;
 
-  /// Notes an error answer to the query. It is blamed on the engine later, unless other engines show that the
-  /// request is at fault: a flood of malformed requests must not get the fleet ejected.
+  /// Records that an attempt of the query ended with an error. The error is attributed to the engine later,
+  /// unless errors of other engines show that the request itself is at fault: many malformed requests must
+  /// not cause the ejection of the fleet.
   static void on_error(Query& query, Engine& engine, TimeUs now);
   static bool has_failed_on(const Query& query, EngineId engine);
-  /// eligible_engines: number of engines on which the query may run at all.
+  /// eligible_engines: number of engines on which the query is allowed to run.
   static bool is_request_at_fault(const Query& query, size_t eligible_engines);
-  /// Whether the query's errors have waited long enough for an answer by another engine.
-  static bool is_blame_due(const Query& query, TimeUs now);
+  /// Whether the query's errors have waited long enough for the response of another engine.
+  static bool is_error_attribution_due(const Query& query, TimeUs now);
 
  private:
   const EngineMap& engines_;
--- a/src/workload/placement.cpp
+++ b/src/workload/placement.cpp
@@ -12,19 +12,22 @@
 namespace sablelink {
 namespace {
 
-constexpr double kWaitMargin = 2.0;  // waits come out longer than estimated
+constexpr double kWaitEstimateMargin = 2.0;  // actual waits are longer than estimated
 
-// The drain guard: drain times up to (1 + kGuardFraction) times the shortest compete, or up to kGuardSlackUs
-// more, without which idle engines never would.
-constexpr double kGuardFraction = 0.5;
-constexpr TimeUs kGuardSlackUs = 30 * kMillisecondUs;
-constexpr TimeUs kRemoteZonePenaltyUs = 60 * kMillisecondUs;  // added to the drain time
+// Drain guard: engines are considered whose drain time is at most (1 + kDrainGuardFraction) times the
+// shortest, or exceeds it by at most kDrainGuardSlackUs. Without the slack, a
+// shortest drain time near 0 would exclude all other engines.
+constexpr double kDrainGuardFraction = 0.5;
+constexpr TimeUs kDrainGuardSlackUs = 30 * kMillisecondUs;
+// Added to the drain time of engines in other zones.
+constexpr TimeUs kRemoteZonePenaltyUs = 60 * kMillisecondUs;
 
-constexpr size_t kPreferredEngines = 4;  // by table group
+constexpr size_t kPreferredEngineCount = 4;  // per table group
 constexpr double kMinCostlyRemoteZone = 0.01;
-constexpr double kRemoteZoneRankFactor = 3;  // where remote zones are costly; lower ranks are preferred
+// Factor for the rank of engines in other zones if attempts there are costly; lower ranks are preferred.
+constexpr double kRemoteZoneRankFactor = 3;
 
-// Rendezvous hashing, weighted by cores: the same on every gateway.
+// Rendezvous hashing, weighted by cores; gives the same ranks on every gateway.
 double rendezvous_rank(int64_t table_group, const Engine& engine) {
   const double random = unit(mix(engine.endpoint.engine * 0x9e3779b97f4a7c15ull ^ table_group));
   return -std::log(random + 1e-12) / engine.cores;
@@ -40,8 +43,8 @@
       limiter_(limiter),
       random_(random) {}
 
-// Starts are predicted anew each time from what is still in flight, so an overrunning query delays those
-// behind it.
+// Predicts starts from the queries that are still in flight, so that a query that exceeds its expected
+// duration delays the queries behind it.
 Placement::StartTimes Placement::predict_starts(const Query& query, const Engine& engine, TimeUs now) const {
   const double free_threads = limiter_.free_threads(engine, now);
   const double work_rate = limiter_.local_quota_threads(engine, now) /
@@ -50,30 +53,32 @@
   for (const Query* other : engine.in_flight)
     in_flight_work_us += cost_model_.remaining_work_us(*other, engine, now);
   in_flight_work_us /= (engine.in_flight.size() + 1);
-  const auto start_behind = [&](double threads, double work_us) -> double {
+  const auto start_after = [&](double threads, double work_us) -> double {
     if (limiter_.has_capacity_for(query, free_threads - threads, now)) return now;
-    return now + kWaitMargin * (in_flight_work_us + work_us) / work_rate;
+    return now + kWaitEstimateMargin * (in_flight_work_us + work_us) / work_rate;
   };
   const size_t length = engine.queue.size();
   const double work_us = cost_model_.work_us(query);
   StartTimes starts;
-  starts.by_position.resize(length + 1);
-  starts.loss_by_position.assign(length + 1, 0.0);
+  starts.start_by_position.resize(length + 1);
+  starts.weight_loss_by_position.assign(length + 1, 0.0);
   double threads_ahead = 0;
   double work_ahead_us = 0;
   for (size_t i = 0; i < length; ++i) {
     const Query& other = *engine.queue[i];
-    starts.by_position[i] = start_behind(threads_ahead, work_ahead_us);
+    starts.start_by_position[i] = start_after(threads_ahead, work_ahead_us);
     const double delayed_start =
-        start_behind(threads_ahead + query.class_settings->threads, work_ahead_us + work_us);
+        start_after(threads_ahead + query.class_settings->threads, work_ahead_us + work_us);
     const double duration_us = cost_model_.expected_duration_us(other, engine, now);
-    starts.loss_by_position[i] = weight_at(cost_model_, other, starts.by_position[i] + duration_us) -
-                                 weight_at(cost_model_, other, delayed_start + duration_us);
+    starts.weight_loss_by_position[i] =
+        weight_at(cost_model_, other, starts.start_by_position[i] + duration_us) -
+        weight_at(cost_model_, other, delayed_start + duration_us);
     threads_ahead += other.class_settings->threads;
     work_ahead_us += cost_model_.work_us(other);
   }
-  starts.by_position[length] = start_behind(threads_ahead, work_ahead_us);
-  for (size_t i = length; i-- > 0;) starts.loss_by_position[i] += starts.loss_by_position[i + 1];
+  starts.start_by_position[length] = start_after(threads_ahead, work_ahead_us);
+  for (size_t i = length; i-- > 0;)
+    starts.weight_loss_by_position[i] += starts.weight_loss_by_position[i + 1];
   return starts;
 }
 
@@ -85,8 +90,9 @@
   best.engine = &engine;
   best.drain_time_us = load_estimator_.drain_time_us(engine, now);
   for (size_t position = last + 1; position-- > 0;) {
-    const double balance_gain = weight_at(cost_model_, query, starts.by_position[position] + duration_us) -
-                                starts.loss_by_position[position];
+    const double balance_gain =
+        weight_at(cost_model_, query, starts.start_by_position[position] + duration_us) -
+        starts.weight_loss_by_position[position];
     const int interaction = interaction_gain(engine, query, position);
     if (position == last || balance_gain > best.balance_gain ||
         (balance_gain == best.balance_gain && interaction > best.interaction_gain)) {
@@ -96,7 +102,7 @@
     }
   }
   const double optimistic_finish =
-      now + kOptimisticDurationFraction * (starts.by_position[best.position] + duration_us - now);
+      now + kOptimisticDurationFraction * (starts.start_by_position[best.position] + duration_us - now);
   best.useful = best.balance_gain > 0 || optimistic_finish <= useful_until(cost_model_, query);
   return best;
 }
@@ -110,7 +116,7 @@
     const double factor = costly ? kRemoteZoneRankFactor : 1;
     ranked.emplace_back(rendezvous_rank(query.request.table_group, *candidate.engine) * factor, &candidate);
   }
-  const size_t preferred = std::min<size_t>(ranked.size(), kPreferredEngines);
+  const size_t preferred = std::min<size_t>(ranked.size(), kPreferredEngineCount);
   std::partial_sort(ranked.begin(), ranked.begin() + static_cast<std::ptrdiff_t>(preferred), ranked.end());
   for (size_t i = 0; i < preferred; ++i) ranked[i].second->interaction_gain += 1;
 }
@@ -126,8 +132,8 @@
     if (candidate.balance_gain < balance_gain) continue;
     if (shortest == nullptr || candidate.drain_time_us < shortest->drain_time_us) shortest = &candidate;
   }
-  const double guard_us =
-      std::max((1 + kGuardFraction) * shortest->drain_time_us, shortest->drain_time_us + kGuardSlackUs);
+  const double guard_us = std::max((1 + kDrainGuardFraction) * shortest->drain_time_us,
+                                   shortest->drain_time_us + kDrainGuardSlackUs);
   const PlacementCandidate* best = nullptr;
   double best_cost_us = 0;
   int ties = 0;
--- a/src/workload/query_scheduler.cpp
+++ b/src/workload/query_scheduler.cpp
@@ -8,18 +8,18 @@
 namespace sablelink {
 namespace {
 
-constexpr int kDefaultPriority = 1;  // where engines don't honor priorities
+constexpr int kDefaultPriority = 1;  // used if engines don't honor priorities
 constexpr int kLatePriority = 0;
 constexpr int kHeavyPriority = 1;
 constexpr int kLightPriority = 3;
 
-// The engine certainly didn't start to run the attempt.
+// Whether it is certain that the engine did not start the attempt.
 bool never_ran(Outcome outcome) {
   return outcome == Outcome::kOverloaded || outcome == Outcome::kConnectFailed ||
          outcome == Outcome::kSuperseded;
 }
 
-// The engine may run the attempt after its outcome.
+// Whether the engine may still run the attempt after its outcome.
 bool may_still_run(Outcome outcome) {
   return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
 }
@@ -54,9 +54,9 @@
   return in_flight ? query : nullptr;
 }
 
-bool QueryScheduler::may_still_leave(RequestId id, int attempt) {
+bool QueryScheduler::may_still_be_sent(RequestId id, int attempt) {
   Query* const query = find_in_flight(id, attempt);
-  return query != nullptr && !query->completed && send_guard_.may_still_leave(*query, *query->engine, now_);
+  return query != nullptr && !query->completed && send_guard_.may_still_be_sent(*query, *query->engine, now_);
 }
 
 void QueryScheduler::requeue(Engine& engine) {
@@ -65,7 +65,7 @@
 
 void QueryScheduler::place(Query& query) {
   query.engine = nullptr;
-  if (now_ < query.health_checks_awaited_until || !parts_.key_ordering.may_start(query, now_)) {
+  if (now_ < query.health_check_wait_until || !parts_.key_ordering.may_start(query, now_)) {
     admission_.park(query);
     return;
   }
@@ -96,7 +96,7 @@
   start_queued(*chosen->engine);
 }
 
-// Engines on which the query has failed are candidates only where no other is.
+// Considers engines on which the query has failed only if there are no other candidates.
 QueryScheduler::CandidateSearch QueryScheduler::find_candidates(const Query& query) {
   CandidateSearch search;
   for (const bool avoid_failed : {true, false}) {
@@ -131,7 +131,7 @@
 void QueryScheduler::steal_work() {
   std::vector<Engine*> sources;
   for (auto& [id, engine] : parts_.engines)
-    if (queue_scheduler_.has_stealable(engine, now_)) sources.push_back(&engine);
+    if (queue_scheduler_.has_stealable_query(engine, now_)) sources.push_back(&engine);
   if (sources.empty()) return;
   for (auto& [id, thief] : parts_.engines) {
     while (thief.queue.empty() && thief.is_ready()) {
@@ -161,11 +161,11 @@
   query.predicted_duration_us = 0;
   ++query.attempts;
   engine.in_flight.push_back(&query);
-  engine.last_table_group = query.request.table_group;
+  engine.last_started_table_group = query.request.table_group;
   parts_.limiter.on_attempt_sent(query);
 }
 
-// A heavy query without an estimate yields like a late one, as it may well become late.
+// A heavy query without an estimate has the same priority as a late query, as it is likely to be late.
 int QueryScheduler::execution_priority(const Query& query) const {
   if (now_ > latency_objective_at(parts_.cost_model, query)) return kLatePriority;
   if (parts_.cost_model.is_light(query)) return kLightPriority;
@@ -195,9 +195,9 @@
   query.engine = nullptr;
 }
 
-// Rejected where that is safe: only then does the client know that it may retry.
+// Rejects the query if that is safe, as a rejection tells the client that it may retry; otherwise fails it.
 void QueryScheduler::send_final_response(const Query& query) {
-  if (RetryPolicy::may_reject(query)) {
+  if (RetryPolicy::is_rejection_safe(query)) {
     delegate_->reject(query.request.id, admission_.retry_after_us(parts_.engines, now_));
   } else {
     delegate_->fail(query.request.id);
@@ -219,21 +219,23 @@
 }
 
 void QueryScheduler::complete_all() {
-  std::vector<Query*> open;
+  std::vector<Query*> to_complete;
   for (auto& [id, query] : queries_)
-    if (!query.completed && !query.response_started) open.push_back(&query);
-  for (Query* query : open) complete(*query);
+    if (!query.completed && !query.response_started) to_complete.push_back(&query);
+  for (Query* query : to_complete) complete(*query);
 }
 
-void QueryScheduler::complete_due_and_hopeless(bool may_cancel_wasteful) {
-  std::vector<Query*> ending;
+void QueryScheduler::complete_near_deadline_or_useless(bool may_cancel_useless_attempts) {
+  std::vector<Query*> to_complete;
   for (auto& [id, query] : queries_) {
     if (query.completed || query.response_started) continue;
-    const bool is_wasteful = may_cancel_wasteful && admission_.is_wasteful(query, now_);
-    if (is_wasteful || admission_.is_due(query, now_) || admission_.is_hopeless(query, now_))
-      ending.push_back(&query);
+    const bool should_cancel_useless_attempt =
+        may_cancel_useless_attempts && admission_.should_cancel_useless_attempt(query, now_);
+    if (should_cancel_useless_attempt || admission_.is_near_deadline(query, now_) ||
+        admission_.is_expected_useless(query, now_))
+      to_complete.push_back(&query);
   }
-  for (Query* query : ending) complete(*query);
+  for (Query* query : to_complete) complete(*query);
 }
 
 void QueryScheduler::end_attempt(Query& query, Engine& engine, Outcome outcome) {
--- a/src/workload/query_scheduler.h
+++ b/src/workload/query_scheduler.h
@@ -1,4 +1,4 @@
-// Moves queries from their arrival through engines' queues and attempts to their final response.
+// Takes queries from their arrival through queues and attempts to their final response.
 #pragma once
 
 #include <map>
@@ -17,8 +17,8 @@
 
 namespace sablelink {
 
-/// Owns the queries. Every action on a query, such as a send, a cancellation or a final response, is given to
-/// the delegate here. Pointers to queries hold until forget(), and until a call that may complete the query.
+/// Owns the queries. Passes every action on a query, such as a send, a cancellation or a final response, to
+/// the delegate. A pointer to a query becomes invalid with forget() or any call that may complete the query.
 class QueryScheduler {
  public:
   /// parts must outlive this object.
@@ -26,49 +26,51 @@
 
   /// Called before each event.
   void begin_event(TimeUs now, WorkloadManagerDelegate& delegate);
-  /// Until the endpoints are known, a query that no engine can take waits.
+  /// Until this is called, a query without any engine waits instead of being completed.
   void set_endpoints_known() { endpoints_known_ = true; }
 
-  /// Adds the request, whose class must exist, and places it. Ignored where the request is known already.
+  /// Adds the request and places it. Its class must exist. Ignored if a request with this identifier exists
+  /// already.
   void add(const QueryRequest& request);
   std::map<RequestId, Query>& queries() { return queries_; }
-  /// Null where the query isn't known.
+  /// Null if no such query exists.
   Query* find(RequestId id);
-  /// The query whose latest attempt this is; null where that isn't in flight.
+  /// Finds the query by its latest attempt; null if that attempt is not in flight.
   Query* find_in_flight(RequestId id, int attempt);
 
-  /// Queues the query on the best engine, parks it while none can take it now, or completes it.
+  /// Queues the query on the best engine, parks it if it cannot be placed now, or completes it if no engine
+  /// can ever take it or its response would be useful on none of them.
   void place(Query& query);
   /// Places the parked queries again; called after each event that can free capacity.
   void place_parked();
-  /// Places the engine's queued queries again.
+  /// Places all queries in the engine's queue again.
   void requeue(Engine& engine);
-  /// Sends queries from the engine's queue while there is capacity.
+  /// Sends queries from the engine's queue while the engine has capacity.
   void start_queued(Engine& engine);
-  /// Starts queued queries on other engines that are idle: placements become outdated.
+  /// Starts queued queries on other engines that have become idle, as earlier placements become outdated.
   void steal_work();
 
   void cancel_attempt(Query& query);
-  /// Whether the attempt, decided earlier, may still leave.
-  bool may_still_leave(RequestId id, int attempt);
-  /// The query's attempt has an outcome.
+  /// Whether an attempt that was decided earlier may still be sent.
+  bool may_still_be_sent(RequestId id, int attempt);
+  /// Updates the query and the engine after an outcome of the query's attempt.
   void end_attempt(Query& query, Engine& engine, Outcome outcome);
 
-  /// Gives the final response, unless it was given, and cancels the attempt in flight.
+  /// Sends the final response if there was none yet, and cancels the attempt in flight.
   void complete(Query& query);
-  /// The client has disconnected and awaits no response; cancels the attempt in flight.
+  /// Cancels the attempt in flight of a query whose client has disconnected; no response is sent.
   void abandon(Query& query);
   /// Deletes the query.
   void forget(const Query& query);
-  /// Completes all queries but those whose response has begun.
+  /// Completes all queries except those whose response has started.
   void complete_all();
-  /// Completes the queries whose deadline is near or that can't be useful any more.
-  void complete_due_and_hopeless(bool may_cancel_wasteful);
+  /// Completes the queries whose deadline is near or whose response can no longer be useful.
+  void complete_near_deadline_or_useless(bool may_cancel_useless_attempts);
 
  private:
   struct CandidateSearch {
     std::vector<PlacementCandidate> candidates;
-    bool may_wait = false;  // an engine that can't take the query now might take it later
+    bool may_wait = false;  // an engine that can't take the query now may take it later
   };
 
   CandidateSearch find_candidates(const Query& query);
@@ -87,7 +89,7 @@
   Admission admission_{parts_.settings, parts_.cost_model, parts_.load_estimator};
   std::map<RequestId, Query> queries_;
   bool endpoints_known_ = false;
-  // Of the present event.
+  // Time and delegate of the current event.
   TimeUs now_ = 0;
   WorkloadManagerDelegate* delegate_ = nullptr;
 };
--- a/src/workload/random.h
+++ b/src/workload/random.h
@@ -5,22 +5,22 @@
 
 namespace sablelink {
 
-/// Hashes 64 bits; each bit of the result depends on all of them.
+/// Mixes the 64 input bits; each bit of the result depends on all of them.
 inline uint64_t mix(uint64_t bits) {
   bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ull;
   bits = (bits ^ (bits >> 27)) * 0x94d049bb133111ebull;
   return bits ^ (bits >> 31);
 }
 
-/// Maps mixed bits to [0, 1).
+/// Maps the output of mix() to [0, 1).
 inline double unit(uint64_t mixed) { return (mixed >> 11) * 0x1p-53; }
 
 class Random {
  public:
   explicit Random(uint64_t seed) : state_(seed) {}
-  /// 0 to n - 1; n must be at least 1.
+  /// Integer in [0, n - 1]; n must be at least 1.
   uint64_t pick(uint64_t n) { return next() % n; }
-  /// In [0, 1).
+  /// Number in [0, 1).
   double draw() { return unit(next()); }
 
  private:
--- a/src/workload/retry_policy.cpp
+++ b/src/workload/retry_policy.cpp
@@ -13,8 +13,8 @@
   if (retry != retry_times_.end()) retry_times_.erase(retry);
 }
 
-// An attempt counts when it leaves, up to max_send_delay_us after its decision. Retries decided within the
-// window and that delay may therefore leave within one window.
+// An attempt counts when it is sent, up to max_send_delay_us after the decision. Retries that are decided
+// within the window plus that delay can therefore be sent within one window.
 bool RetryPolicy::has_budget_for(const Query& query, TimeUs now) {
   if (query.attempts == 0 || !settings_.retry_budget_enabled) return true;
   const TimeUs window_us = settings_.retry_budget_window_us;
@@ -26,7 +26,7 @@
          settings_.retry_budget_base + settings_.retry_budget_per_request * request_times_.size();
 }
 
-bool RetryPolicy::is_safe_on(const Query& query, const Endpoint& endpoint, TimeUs now) const {
+bool RetryPolicy::is_retry_safe_on(const Query& query, const Endpoint& endpoint, TimeUs now) const {
   const ClassSettings& class_settings = *query.class_settings;
   if (!query.may_have_run || class_settings.idempotency == Idempotency::kIdempotent) return true;
   if (class_settings.idempotency == Idempotency::kNotIdempotent) return false;
@@ -42,7 +42,7 @@
   return false;
 }
 
-bool RetryPolicy::may_reject(const Query& query) {
+bool RetryPolicy::is_rejection_safe(const Query& query) {
   const ClassSettings& class_settings = *query.class_settings;
   if (class_settings.idempotency == Idempotency::kIdempotent) return true;
   if (!query.may_have_run && !query.attempt_in_flight) return true;
--- a/src/workload/retry_policy.h
+++ b/src/workload/retry_policy.h
@@ -1,4 +1,4 @@
-// Which queries may be sent again, where, and how many retries this gateway may make.
+// Decides which queries may be sent again, on which endpoints, and how many retries this gateway may make.
 #pragma once
 
 #include <deque>
@@ -9,27 +9,27 @@
 
 namespace sablelink {
 
-/// Idempotency, the limit of attempts and the retry budget over a sliding window.
+/// Applies idempotency, the limit of attempts and the retry budget over a sliding window.
 class RetryPolicy {
  public:
   /// settings must outlive the policy.
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-  /// Called for each request that a client has sent: the budget grows with them.
+  /// Called for each request of a client; the budget grows with the number of requests.
   void record_request(TimeUs now);
   void record_retry(TimeUs now) { retry_times_.push_back(now); }
-  /// Takes back a retry that was recorded at the time given, if there is one.
+  /// Removes a retry recorded at the given time, if there is one.
   void remove_retry(TimeUs recorded_at);
 
   bool has_attempts_left(const Query& query) const { return query.attempts < settings_.max_attempts; }
-  /// Whether the next attempt is the query's first, or a retry for which there is budget. Drops what has left
+  /// Whether the next attempt is the query's first, or a retry within the budget. Removes entries older than
   /// the window.
   bool has_budget_for(const Query& query, TimeUs now);
-  /// Whether running the query on the endpoint cannot repeat its effects: it never ran, is idempotent, or the
-  /// endpoint still deduplicates the first run's key.
-  bool is_safe_on(const Query& query, const Endpoint& endpoint, TimeUs now) const;
-  /// Whether the query can be rejected. A client sends again what was rejected, so this must be safe.
-  static bool may_reject(const Query& query);
+  /// Whether the query can run on the endpoint without repeating its effects: it never ran, it is idempotent,
+  /// or the endpoint still deduplicates the key of the first run.
+  bool is_retry_safe_on(const Query& query, const Endpoint& endpoint, TimeUs now) const;
+  /// Whether the query can be rejected safely: clients send rejected queries again.
+  static bool is_rejection_safe(const Query& query);
 
  private:
   const Settings& settings_;
--- a/src/workload/send_guard.cpp
+++ b/src/workload/send_guard.cpp
@@ -20,7 +20,7 @@
 }
 
 bool SendGuard::may_ever_send(const Query& query, const Engine& engine, TimeUs now) const {
-  return is_eligible(query, engine) && retry_policy_.is_safe_on(query, engine.endpoint, now);
+  return is_eligible(query, engine) && retry_policy_.is_retry_safe_on(query, engine.endpoint, now);
 }
 
 bool SendGuard::may_send(const Query& query, Engine& engine, TimeUs now) {
@@ -31,21 +31,21 @@
 }
 
 void SendGuard::on_sent(const Query& query, Engine& engine, TimeUs now) {
-  record(query, engine, query.attempts > 0, now);
+  count_send(query, engine, query.attempts > 0, now);
 }
 
-bool SendGuard::may_still_leave(const Query& query, Engine& engine, TimeUs now) {
+bool SendGuard::may_still_be_sent(const Query& query, Engine& engine, TimeUs now) {
   const bool is_retry = query.attempts > 1;
   const bool counted = slow_start_.remove_send(query, engine, now);
   if (is_retry) retry_policy_.remove_retry(query.sent_at);
   if (counted && !slow_start_.has_budget_for(query, engine, now)) return false;
   if (is_retry && !retry_policy_.has_budget_for(query, now)) return false;
   if (!may_ever_send(query, engine, now)) return false;
-  record(query, engine, is_retry, now);
+  count_send(query, engine, is_retry, now);
   return true;
 }
 
-void SendGuard::record(const Query& query, Engine& engine, bool is_retry, TimeUs now) {
+void SendGuard::count_send(const Query& query, Engine& engine, bool is_retry, TimeUs now) {
   slow_start_.record_send(query, engine, now);
   if (is_retry) retry_policy_.record_retry(now);
 }
--- a/src/workload/send_guard.h
+++ b/src/workload/send_guard.h
@@ -1,4 +1,4 @@
-// The check that every send passes, with the rules that no other part may get round.
+// Checks every send against rules that hold whatever the other components decide.
 #pragma once
 
 #include "workload/key_ordering.h"
@@ -16,20 +16,20 @@
   SendGuard(SlowStart& slow_start, RetryPolicy& retry_policy, const KeyOrdering& key_ordering)
       : slow_start_(slow_start), retry_policy_(retry_policy), key_ordering_(key_ordering) {}
 
-  /// Whether the engine is ready, and in a zone and of a type that the query's class allows.
+  /// Whether the engine is ready and the query's class allows its zone and engine type.
   static bool is_eligible(const Query& query, const Engine& engine);
-  /// Whether the query might be sent to the engine now or later.
+  /// Whether the query may be sent to the engine now or later.
   bool may_ever_send(const Query& query, const Engine& engine, TimeUs now) const;
   /// Whether the query may be sent to the engine now.
   bool may_send(const Query& query, Engine& engine, TimeUs now);
-  /// Called for each send, before the attempt is counted.
+  /// Called for each send, before the attempt is counted in the query.
   void on_sent(const Query& query, Engine& engine, TimeUs now);
-  /// Whether the query's latest attempt, decided earlier, may still leave for the engine. It then counts from
-  /// now against the budgets, else no more.
-  bool may_still_leave(const Query& query, Engine& engine, TimeUs now);
+  /// Whether the query's latest attempt, decided earlier, may still be sent to the engine. If so, it counts
+  /// against the budgets from now on; otherwise it no longer counts.
+  bool may_still_be_sent(const Query& query, Engine& engine, TimeUs now);
 
  private:
-  void record(const Query& query, Engine& engine, bool is_retry, TimeUs now);
+  void count_send(const Query& query, Engine& engine, bool is_retry, TimeUs now);
 
   SlowStart& slow_start_;
   RetryPolicy& retry_policy_;
--- a/src/workload/settings_parser.cpp
+++ b/src/workload/settings_parser.cpp
@@ -11,7 +11,7 @@
 namespace sablelink {
 namespace {
 
-constexpr int kMaxListLength = 65536;  // of classes or tenants
+constexpr int kMaxListLength = 65536;  // limit for the number of classes and of tenants
 
 using KeyValueMap = std::map<std::string, std::string, std::less<>>;
 
@@ -55,13 +55,13 @@
   throw SettingsError("settings: " + key + " is neither true nor false: '" + value + "'");
 }
 
-/// Reads typed values by key. A key that is missing or empty leaves the target unchanged. Throws
-/// SettingsError for a value that can't be read.
+/// Reads typed values by key. A missing or empty value leaves the target unchanged. Throws SettingsError for
+/// a value that can't be parsed.
 class SettingsReader {
  public:
   explicit SettingsReader(std::string_view text) : values_(split_lines(text)) {}
 
-  /// Null where the key is missing or empty.
+  /// Null if the key is missing or its value is empty.
   const std::string* find(const std::string& key) const {
     const auto found = values_.find(key);
     return found == values_.end() || found->second.empty() ? nullptr : &found->second;
@@ -98,7 +98,7 @@
     target = known->second;
   }
 
-  /// Appends indices. Engine types and zones may be listed by index, or by a name of those under names_key.
+  /// Appends indices to target. Items are indices, or names from the list under names_key.
   void read_indices(const std::string& key, const std::string& names_key, std::vector<int>& target) const {
     const std::vector<std::string> names = read_list(names_key);
     for (const std::string& item : read_list(key)) {
@@ -141,7 +141,7 @@
   int count = 0;
   reader.read_number("Services.count", count);
   if (count <= 0 || count > kMaxListLength)
-    throw SettingsError("settings: Services.count is missing or not usable");
+    throw SettingsError("settings: Services.count is missing or not from 1 to 65536");
   settings.classes.resize(count);
   std::vector<double> threads;
   reader.read_numbers("Extra.ThreadsByClass", threads);
@@ -157,17 +157,18 @@
   }
 }
 
-// Some deployments have no tenants.
+// The list of tenants is optional.
 void read_tenants(const SettingsReader& reader, Settings& settings) {
   int count = 0;
   reader.read_number("Tenants.count", count);
-  if (count < 0 || count > kMaxListLength) throw SettingsError("settings: Tenants.count is not usable");
+  if (count < 0 || count > kMaxListLength)
+    throw SettingsError("settings: Tenants.count must be from 0 to 65536");
   settings.tenants.resize(count);
   for (int i = 0; i < count; ++i) {
     const std::string key = "Tenants." + std::to_string(i) + ".AllowancePerS";
     TenantSettings& tenant = settings.tenants[i];
     reader.read_number(key, tenant.quota_requests_per_s);
-    if (tenant.quota_requests_per_s < 0) throw SettingsError("settings: " + key + " is below 0");
+    if (tenant.quota_requests_per_s < 0) throw SettingsError("settings: " + key + " must not be negative");
   }
   reader.read_number("OverShareWorth", settings.over_quota_weight_fraction);
 }
@@ -212,7 +213,7 @@
   reader.read_number("Rules.CountedOverUs", settings.retry_budget_window_us);
 }
 
-// Load reports come with responses and health checks, with health checks alone, or not at all.
+// Load reports come with responses and health checks, only with health checks, or not at all.
 void read_load_report_source(const SettingsReader& reader, Settings& settings) {
   enum class Source { kResponsesAndHealthChecks, kHealthChecks, kNone };
   Source source = Source::kResponsesAndHealthChecks;
--- a/src/workload/settings_parser.h
+++ b/src/workload/settings_parser.h
@@ -1,5 +1,5 @@
-// Reads a gateway's settings from lines of path=value, as the platform sends them. The platform's names are
-// mapped to the project's terms here alone.
+// Parses a gateway's settings from lines of the form path=value, as the platform sends them. Only this file
+// maps the platform's names to the project's terms.
 #pragma once
 
 #include <string>
@@ -12,20 +12,21 @@
 
 namespace sablelink {
 
-/// A setting that can't be read; the message names its key.
+/// A setting that can't be parsed; the message contains its key.
 class SettingsError : public Error {
  public:
   using Error::Error;
 };
 
-/// Unknown keys are ignored; missing and empty ones take the defaults of Settings. Throws SettingsError where
-/// a value can't be read, or where the list of classes or one of its mandatory keys is missing.
+/// Unknown keys are ignored; missing and empty values keep the defaults of Settings. Throws SettingsError if
+/// a value can't be parsed, or if the list of classes or a mandatory key of a class is missing.
 Settings parse_settings(std::string_view text);
 
-/// Names of the load reports' fields, in the order in which reports carry them; empty where there are none.
+/// Returns the field names of load reports in the order of the report's values; empty if there are none.
 std::vector<std::string> parse_load_report_fields(std::string_view text);
 
-/// Sets the value that the platform's field name stands for; false, and nothing changes, for an unknown name.
+/// Sets the value of the field with the platform's name. Returns false and changes nothing if the name is
+/// unknown.
 bool set_load_report_value(LoadReport& report, std::string_view field, double value);
 
 }  // namespace sablelink
--- a/src/workload/straggler_detector.cpp
+++ b/src/workload/straggler_detector.cpp
@@ -9,23 +9,25 @@
 namespace sablelink {
 namespace {
 
-constexpr double kStragglerMultiple = 3;           // of the expected duration
-constexpr double kPredictedStragglerMultiple = 4;  // ... where progress updates predict the duration
+constexpr double kStragglerMultiple = 3;  // of the expected duration
+// Multiple of the expected duration, if progress updates predict the actual duration.
+constexpr double kPredictedStragglerMultiple = 4;
 constexpr TimeUs kMinStragglerUs = 300 * kMillisecondUs;
-constexpr double kMaxDurationMultiple = 10;  // one attempt counts up to this in an engine's mean
-constexpr double kTimeoutMultiple = 6;       // of the expected duration, where attempts can't be cancelled
+constexpr double kMaxDurationMultiple = 10;  // limit for one attempt in an engine's mean
+constexpr double kTimeoutMultiple = 6;       // of the expected duration, if attempts can't be cancelled
 
-// Attempts cancelled as stragglers that prove a query heavy in itself.
-constexpr int kMaxStragglersOfEstimatedQuery = 2;
-constexpr int kMaxStragglersOfUnestimatedQuery = 1;
+// After this many cancelled attempts, the query itself is considered heavy and is no longer cancelled.
+constexpr int kMaxCancellationsOfEstimatedQuery = 2;
+constexpr int kMaxCancellationsOfUnestimatedQuery = 1;
 
-constexpr double kSharedSlowdownFraction = 0.35;  // of attempts slow: the cause is shared
+// Fraction of slow attempts above which a common cause is assumed.
+constexpr double kSharedSlowdownFraction = 0.35;
 constexpr double kMinSharedSlowAttempts = 2;
-constexpr TimeUs kFractionSmoothingUs = 2 * kSecondUs;
+constexpr TimeUs kSlowFractionSmoothingUs = 2 * kSecondUs;
 
-constexpr TimeUs kSilenceUs = 1200 * kMillisecondUs;  // since the engine's last response
-constexpr size_t kAttemptsProvingSilence = 2;
-constexpr TimeUs kSingleAttemptSilenceUs = 2 * kSilenceUs;
+constexpr TimeUs kSilenceThresholdUs = 1200 * kMillisecondUs;  // time since the engine's last response
+constexpr size_t kMinAttemptsForSilence = 2;
+constexpr TimeUs kSingleAttemptSilenceThresholdUs = 2 * kSilenceThresholdUs;
 
 }  // namespace
 
@@ -33,18 +35,18 @@
   ScanTotals totals;
   for (auto& [id, engine] : engines) scan_engine(engine, totals, now);
   if (totals.attempts > 0)
-    straggler_fraction_ += kHousekeepingIntervalUs *
-                           (totals.slow_attempts / totals.attempts - straggler_fraction_) /
-                           kFractionSmoothingUs;
+    smoothed_slow_fraction_ += kHousekeepingIntervalUs *
+                               (totals.slow_attempts / totals.attempts - smoothed_slow_fraction_) /
+                               kSlowFractionSmoothingUs;
   const bool shared_slowdown = (totals.slow_attempts > kMinSharedSlowAttempts &&
                                 totals.slow_attempts > kSharedSlowdownFraction * totals.attempts) ||
-                               straggler_fraction_ > kSharedSlowdownFraction;
+                               smoothed_slow_fraction_ > kSharedSlowdownFraction;
   ScanResult result;
   if (!shared_slowdown) result.stragglers = std::move(totals.stragglers);
   result.silent_engines = std::move(totals.silent_engines);
-  // A single attempt proves little where a gateway has few on each engine.
+  // A single overdue attempt is weak evidence if a gateway has few attempts on each engine.
   const bool many_slow =
-      totals.possibly_silent_engines.size() > 1 && straggler_fraction_ > kSharedSlowdownFraction / 2;
+      totals.possibly_silent_engines.size() > 1 && smoothed_slow_fraction_ > kSharedSlowdownFraction / 2;
   if (!many_slow)
     result.silent_engines.insert(result.silent_engines.end(), totals.possibly_silent_engines.begin(),
                                  totals.possibly_silent_engines.end());
@@ -52,7 +54,7 @@
 }
 
 void StragglerDetector::scan_engine(Engine& engine, ScanTotals& totals, TimeUs now) const {
-  size_t overdue_attempts = 0;  // without any response of the engine since they were sent
+  size_t overdue_attempts = 0;  // sent since the engine's last response, without any response
   double duration_multiples = 0;
   for (Query* query : engine.in_flight) {
     const double in_flight_us = now - query->sent_at;
@@ -62,10 +64,10 @@
     if (in_flight_us > kStragglerMultiple * expected_us + kMinStragglerUs &&
         query->sent_at >= engine.health.last_response_at)
       ++overdue_attempts;
-    const bool counts = !engine.health.is_ejected();
-    totals.attempts += counts;
+    const bool in_service = !engine.health.is_ejected();
+    totals.attempts += in_service;
     if (query->completed || !is_straggler(*query, engine, now)) continue;
-    totals.slow_attempts += counts;
+    totals.slow_attempts += in_service;
     if (may_cancel_and_retry(*query, engine, now)) totals.stragglers.push_back(query);
   }
   const size_t attempts = engine.in_flight.size();
@@ -73,12 +75,12 @@
 
   if (engine.health.ejected_until > now || overdue_attempts == 0) return;
   const TimeUs silence_us = now - engine.health.last_response_at;
-  const bool several = overdue_attempts >= kAttemptsProvingSilence;
-  if (silence_us <= (several ? kSilenceUs : kSingleAttemptSilenceUs)) return;
-  (several ? totals.silent_engines : totals.possibly_silent_engines).push_back(&engine);
+  const bool has_several_overdue = overdue_attempts >= kMinAttemptsForSilence;
+  if (silence_us <= (has_several_overdue ? kSilenceThresholdUs : kSingleAttemptSilenceThresholdUs)) return;
+  (has_several_overdue ? totals.silent_engines : totals.possibly_silent_engines).push_back(&engine);
 }
 
-// Far beyond its expected duration, the query is taken to have got a bad plan.
+// An attempt that takes far longer than expected is assumed to have a bad execution plan.
 bool StragglerDetector::is_straggler(const Query& query, const Engine& engine, TimeUs now) const {
   const double in_flight_us = now - query.sent_at;
   if (in_flight_us < kMinStragglerUs) return false;
@@ -89,10 +91,10 @@
 }
 
 bool StragglerDetector::may_cancel_and_retry(const Query& query, const Engine& engine, TimeUs now) const {
-  const int max_stragglers =
-      query.request.estimated_cost_us ? kMaxStragglersOfEstimatedQuery : kMaxStragglersOfUnestimatedQuery;
+  const int max_cancellations = query.request.estimated_cost_us ? kMaxCancellationsOfEstimatedQuery
+                                                                : kMaxCancellationsOfUnestimatedQuery;
   return settings_.cancellation_allowed && !query.cancel_requested && !query.response_started &&
-         query.cancelled_stragglers < max_stragglers && retry_policy_.has_attempts_left(query) &&
+         query.straggler_cancellations < max_cancellations && retry_policy_.has_attempts_left(query) &&
          query.class_settings->idempotency == Idempotency::kIdempotent &&
          retry_policy_.has_budget_for(query, now) &&
          now + cost_model_.expected_duration_us(query, engine, now) < useful_until(cost_model_, query);
--- a/src/workload/workload_manager.cpp
+++ b/src/workload/workload_manager.cpp
@@ -14,8 +14,9 @@
 namespace sablelink {
 namespace {
 
-constexpr TimeUs kWatchRetryUs = 500 * kMillisecondUs;  // after the endpoint list couldn't be watched
-constexpr double kMinProgress = 0.002;                  // a smaller fraction predicts no more than this one
+constexpr TimeUs kWatchRetryUs = 500 * kMillisecondUs;  // delay after a failed endpoint watch
+// Lower limit of the progress from which a duration is predicted.
+constexpr double kMinProgressFraction = 0.002;
 
 constexpr uint32_t kHousekeepingToken = 1;
 constexpr uint32_t kWatchRetryToken = 2;
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-/// Passes each event to the parts that learn from it, and then has the scheduler act on the queries.
+/// Passes each event to the components that learn from it and then lets the scheduler act on the queries.
 class WorkloadManager::Impl {
  public:
   Impl(Settings settings, uint64_t seed);
@@ -55,7 +56,7 @@
                                  const std::optional<LoadReport>& report);
 
  private:
-  bool resumed_from_stall() const { return now_ == stall_ended_at_; }
+  bool resumed_from_stall() const { return now_ == last_stall_ended_at_; }
   void update_endpoint(const Endpoint& endpoint);
   void refresh_load();
   void learn_from(Query& query, Engine& engine, const AttemptCompletion& completion);
@@ -64,14 +65,14 @@
   void eject(Engine& engine, EjectionReason reason);
   bool is_request_at_fault(const Query& query) const;
   void attribute_errors(Query& query);
-  void attribute_pending_errors();
+  void attribute_due_errors();
   void check_stragglers();
 
   DecisionParts parts_;
   QueryScheduler scheduler_{parts_};
   TimeUs started_at_ = 0;
-  TimeUs stall_ended_at_ = 0;  // the last one's
-  // Of the present event.
+  TimeUs last_stall_ended_at_ = 0;  // end of the most recent stall
+  // Time and delegate of the current event.
   TimeUs now_ = 0;
   WorkloadManagerDelegate* delegate_ = nullptr;
 };
@@ -79,7 +80,7 @@
 WorkloadManager::Impl::Impl(Settings settings, uint64_t seed) : parts_(std::move(settings), seed) {}
 
 WorkloadManager::Impl& WorkloadManager::Impl::begin_event(TimeUs now, WorkloadManagerDelegate& delegate) {
-  if (now_ > 0 && now - now_ > kStallThresholdUs) stall_ended_at_ = now;
+  if (now_ > 0 && now - now_ > kStallThresholdUs) last_stall_ended_at_ = now;
   now_ = now;
   delegate_ = &delegate;
   scheduler_.begin_event(now, delegate);
@@ -133,9 +134,9 @@
 }
 
 void WorkloadManager::Impl::on_attempt_completed(const AttemptCompletion& completion) {
-  const auto reporter = parts_.engines.find(completion.engine);
-  if (reporter != parts_.engines.end() && completion.load_report)
-    parts_.load_estimator.on_load_report(reporter->second, *completion.load_report, 0, now_);
+  const auto reporting_engine = parts_.engines.find(completion.engine);
+  if (reporting_engine != parts_.engines.end() && completion.load_report)
+    parts_.load_estimator.on_load_report(reporting_engine->second, *completion.load_report, 0, now_);
   Query* const found = scheduler_.find_in_flight(completion.id, completion.attempt);
   if (found == nullptr) return;
   Query& query = *found;
@@ -162,7 +163,7 @@
   OutlierDetector::on_response(*query->engine, now_);
   if (update.kind != ProgressKind::kProgress) return;
   query->predicted_duration_us =
-      static_cast<TimeUs>((now_ - query->sent_at) / std::clamp(update.value, kMinProgress, 1.0));
+      static_cast<TimeUs>((now_ - query->sent_at) / std::clamp(update.value, kMinProgressFraction, 1.0));
 }
 
 void WorkloadManager::Impl::on_client_disconnected(RequestId id) {
@@ -174,9 +175,9 @@
   if (token != kHousekeepingToken) return;
   delegate_->set_timer(kHousekeepingIntervalUs, kHousekeepingToken);
   refresh_load();
-  scheduler_.complete_due_and_hopeless(!resumed_from_stall());
-  attribute_pending_errors();
-  // After a stall, outcomes that came in the meantime are still to be read.
+  scheduler_.complete_near_deadline_or_useless(!resumed_from_stall());
+  attribute_due_errors();
+  // After a stall, outcomes received during the stall have not been processed yet.
   if (!resumed_from_stall()) check_stragglers();
   for (auto& [id, engine] : parts_.engines) scheduler_.start_queued(engine);
   scheduler_.steal_work();
@@ -206,7 +207,7 @@
   if (is_new && endpoint.state == EndpointState::kRemoved) return;
   Engine& engine = is_new ? parts_.engines[endpoint.engine] : found->second;
   const bool started = is_new || endpoint.started_at > engine.endpoint.started_at;
-  if (started) {  // what was learned of its former incarnation doesn't hold
+  if (started) {  // what was learned before the restart is no longer valid
     Engine restarted;
     restarted.queue.swap(engine.queue);
     restarted.in_flight.swap(engine.in_flight);
@@ -245,7 +246,7 @@
 
 void WorkloadManager::Impl::retry_or_complete(Query& query) {
   if (is_request_at_fault(query)) {
-    query.failed_engines.clear();
+    query.unattributed_error_engines.clear();
   } else if (parts_.retry_policy.has_attempts_left(query) &&
              parts_.retry_policy.has_budget_for(query, now_) &&
              useful_until(parts_.cost_model, query) > now_) {
@@ -277,7 +278,7 @@
   if (!parts_.outlier_detector.eject(engine, reason, now_)) return;
   if (!was_ejected) delegate_->log(std::string("engine taken out: ") + reason_text(reason));
   scheduler_.requeue(engine);
-  if (engine.in_flight.size() < 2) return;  // a single attempt is left to the check for stragglers
+  if (engine.in_flight.size() < 2) return;  // a single attempt is left to the straggler check
   for (Query* query : std::vector<Query*>(engine.in_flight))
     if (!query->completed && parts_.straggler_detector.may_cancel_and_retry(*query, engine, now_))
       scheduler_.cancel_attempt(*query);
@@ -289,18 +290,18 @@
   return OutlierDetector::is_request_at_fault(query, eligible_engines);
 }
 
-// Blames the query's errors on the engines that answered with them.
+// Attributes the query's errors to the engines that returned them.
 void WorkloadManager::Impl::attribute_errors(Query& query) {
-  for (const EngineId id : std::exchange(query.failed_engines, {}))
+  for (const EngineId id : std::exchange(query.unattributed_error_engines, {}))
     if (const auto found = parts_.engines.find(id); found != parts_.engines.end())
       record_outcome(found->second, Outcome::kError);
 }
 
-void WorkloadManager::Impl::attribute_pending_errors() {
+void WorkloadManager::Impl::attribute_due_errors() {
   std::vector<RequestId> due;
   for (const auto& [id, query] : scheduler_.queries())
-    if (OutlierDetector::is_blame_due(query, now_)) due.push_back(id);
-  // An ejection may complete other queries of this list.
+    if (OutlierDetector::is_error_attribution_due(query, now_)) due.push_back(id);
+  // An ejection may complete other queries in this list.
   for (const RequestId id : due)
     if (Query* const query = scheduler_.find(id)) attribute_errors(*query);
 }
@@ -310,7 +311,7 @@
     CostModel::decay_latency_ratio(engine, kHousekeepingIntervalUs, now_);
   const StragglerDetector::ScanResult result = parts_.straggler_detector.scan(parts_.engines, now_);
   for (Query* query : result.stragglers) {
-    ++query->cancelled_stragglers;
+    ++query->straggler_cancellations;
     scheduler_.cancel_attempt(*query);
   }
   for (Engine* engine : result.silent_engines) eject(*engine, EjectionReason::kSilence);
@@ -371,7 +372,7 @@
 
 bool WorkloadManager::is_attempt_still_valid(TimeUs now, RequestId id, int attempt,
                                              WorkloadManagerDelegate& delegate) {
-  return impl_->begin_event(now, delegate).scheduler().may_still_leave(id, attempt);
+  return impl_->begin_event(now, delegate).scheduler().may_still_be_sent(id, attempt);
 }
 
 void WorkloadManager::on_gossip(TimeUs /*now*/, int /*peer*/, std::string_view /*bytes*/,
--- a/tests/workload/admission_test.cpp
+++ b/tests/workload/admission_test.cpp
@@ -1,4 +1,4 @@
-// Rejections, and final responses in time.
+// Tests rejections and final responses before the deadline.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -34,12 +34,12 @@
   harness.update_endpoints({engine(1)});
   harness.request(7, 1, 3 * kSecond);
   ASSERT_EQ(harness.send_count(7), 1);
-  const TimeUs due = harness.now() + 3 * kSecond;
+  const TimeUs deadline = harness.now() + 3 * kSecond;
   harness.run_for(4 * kSecond);
   ASSERT_TRUE(harness.has_final_response(7));
-  const Action* answer = harness.last(Action::kReject, 7);
-  ASSERT_NE(answer, nullptr);
-  EXPECT_LE(answer->at, due + 20 * kMs);
+  const Action* rejection = harness.last(Action::kReject, 7);
+  ASSERT_NE(rejection, nullptr);
+  EXPECT_LE(rejection->at, deadline + 20 * kMs);
   EXPECT_EQ(harness.count(Action::kReject, 7) + harness.count(Action::kFail, 7), 1);
 }
 
--- a/tests/workload/concurrency_limiter_test.cpp
+++ b/tests/workload/concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-// How many queries this gateway has in flight on an engine and on the fleet.
+// Tests the limits of queries in flight on an engine and on the fleet.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -11,8 +11,8 @@
   harness.update_endpoints({engine(1)});
   for (RequestId id = 1; id <= 12; ++id) harness.request(id, 1, 15 * kSecond, 400'000);
   const int started = harness.send_count_to(1);
-  EXPECT_GE(4 * started, 8) << "never under one thread a core";
-  EXPECT_LE(4 * started, 24) << "nor far over the engine's peak";
+  EXPECT_GE(4 * started, 8) << "an engine runs at least one thread per core";
+  EXPECT_LE(4 * started, 24) << "an engine runs few threads above its concurrency limit";
   harness.run_for(300 * kMs);
   harness.complete_attempt(1, Outcome::kOk, 400'000);
   EXPECT_EQ(harness.send_count_to(1), started + 1);
@@ -24,7 +24,7 @@
   ManagerHarness harness(settings);
   harness.update_endpoints({engine(1)});
   for (RequestId id = 1; id <= 6; ++id) harness.request(id, 0, 5 * kSecond, 300'000);
-  EXPECT_EQ(harness.send_count_to(1), 6) << "no pressure: more than a quarter of the bound goes out";
+  EXPECT_EQ(harness.send_count_to(1), 6) << "without pressure, more than a quarter of the limit is in flight";
 }
 
 TEST(ConcurrencyLimiter, HeavyQueriesWaitOnFullFleetAndLightOnesPass) {
@@ -32,7 +32,7 @@
   settings.gateway_count = 200;
   ManagerHarness harness(settings);
   harness.update_endpoints(engines(4));
-  for (RequestId id = 1; id <= 40; ++id) {  // every report says that the engines hold a hundred queries
+  for (RequestId id = 1; id <= 40; ++id) {  // every load report shows 100 queries in flight
     harness.request(id, 0, 5 * kSecond, 100'000);
     harness.run_for(50 * kMs);
     if (harness.send_count(id) > 0) harness.complete_attempt(id, Outcome::kOk, 100'000, 100);
@@ -40,7 +40,8 @@
   harness.request(100, 1, 15 * kSecond, 6'000'000);
   harness.request(101, 1, 15 * kSecond, 6'000'000);
   harness.request(102, 0, 5 * kSecond, 100'000);
-  EXPECT_LE(harness.send_count(100) + harness.send_count(101), 1) << "this gateway's part is one";
+  EXPECT_LE(harness.send_count(100) + harness.send_count(101), 1)
+      << "this gateway's quota of the fleet is one query";
   EXPECT_EQ(harness.send_count(102), 1);
 }
 
--- a/tests/workload/engine_capacity_test.cpp
+++ b/tests/workload/engine_capacity_test.cpp
@@ -1,4 +1,4 @@
-// How much work an engine bears, also while it warms up.
+// Tests the capacity of engines, also during their slow start.
 #include "workload/engine_capacity.h"
 
 #include <gtest/gtest.h>
--- a/tests/workload/engine_queue_test.cpp
+++ b/tests/workload/engine_queue_test.cpp
@@ -1,4 +1,4 @@
-// The order in which queued queries start.
+// Tests the order in which queued queries start.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -20,7 +20,7 @@
   while (running < 8 && harness.send_count(running) == 0) ++running;
   harness.complete_attempt(running, Outcome::kOk, 2'000'000);
   EXPECT_EQ(harness.send_count(50), 1)
-      << "incident i56d015: late queries at the front kept newcomers waiting past their aim";
+      << "incident i56d015: late queries at the head delayed new queries past their latency objective";
 }
 
 TEST(EngineQueue, QueryWithoutCapacityLetsLighterOnePass) {
@@ -31,9 +31,9 @@
   harness.request(1, 1, 15 * kSecond, 3'000'000);
   for (RequestId id = 2; id <= 5; ++id) harness.request(id, 0, 5 * kSecond, 100'000);
   harness.request(6, 1, 15 * kSecond, 3'000'000);
-  ASSERT_EQ(harness.send_count(6), 0) << "12 threads run, 8 more don't fit";
+  ASSERT_EQ(harness.send_count(6), 0) << "8 more threads don't fit beside the 12 in flight";
   harness.request(7, 0, 5 * kSecond, 100'000);
-  EXPECT_EQ(harness.send_count(7), 1) << "incident i7f9fef: short ones were refused behind a long one";
+  EXPECT_EQ(harness.send_count(7), 1) << "incident i7f9fef: short queries behind a long one were rejected";
   EXPECT_EQ(harness.send_count(6), 0);
 }
 
@@ -44,7 +44,7 @@
   ASSERT_LT(harness.send_count_to(1), 8);
   harness.update_endpoints({engine(2)}, EndpointUpdateKind::kDelta);
   harness.run_for(20 * kMs);
-  EXPECT_GE(harness.send_count_to(2), 2) << "incident i56d015: plans made earlier left engines idle";
+  EXPECT_GE(harness.send_count_to(2), 2) << "incident i56d015: outdated placements left engines idle";
 }
 
 }  // namespace
--- a/tests/workload/harness.h
+++ b/tests/workload/harness.h
@@ -1,4 +1,4 @@
-// A workload manager on a clock set by hand, with a delegate that records what it does.
+// A workload manager with a manually advanced clock and a delegate that records all calls.
 #pragma once
 
 #include <algorithm>
@@ -21,11 +21,11 @@
   TimeUs at = 0;
   RequestId id = 0;
   EngineId engine = 0;
-  double value = 0;   // attempt, retry-after, priority
-  double amount = 0;  // grant
+  double value = 0;  // attempt, retry-after, priority or timeout, by kind
+  double grant_mb = 0;
 };
 
-/// The manager, with a delegate that records each call.
+/// The manager and its delegate, which records each call.
 class ManagerHarness : public WorkloadManagerDelegate {
  public:
   explicit ManagerHarness(Settings settings, TimeUs now = 100 * kSecond, uint64_t seed = 42)
@@ -33,28 +33,32 @@
     manager_.on_start(now_, *this);
   }
 
-  void set_execution_hints(RequestId id, int priority, double grant) override {
-    add({Action::kSetHints, now_, id, 0, double(priority), grant});
+  void set_execution_hints(RequestId id, int priority, double grant_mb) override {
+    record({Action::kSetHints, now_, id, 0, double(priority), grant_mb});
   }
-  void send_attempt(RequestId id, EngineId engine, TimeUs timeout) override {
-    add({Action::kSend, now_, id, engine, double(timeout), 0});
+  void send_attempt(RequestId id, EngineId engine, TimeUs timeout_us) override {
+    record({Action::kSend, now_, id, engine, double(timeout_us), 0});
   }
   void cancel_attempt(RequestId id, int attempt) override {
-    add({Action::kCancel, now_, id, 0, double(attempt), 0});
-  }
-  void reject(RequestId id, TimeUs after) override { add({Action::kReject, now_, id, 0, double(after), 0}); }
-  void fail(RequestId id) override { add({Action::kFail, now_, id, 0, 0, 0}); }
-  void set_timer(TimeUs delay, uint32_t token) override { timers_.emplace_back(now_ + delay, token); }
-  void watch_endpoints(bool on) override { add({Action::kWatchEndpoints, now_, 0, 0, double(on), 0}); }
-  void fetch_endpoints() override { add({Action::kOther, now_, 0, 0, 0, 0}); }
-  void check_health(EngineId engine) override { add({Action::kCheckHealth, now_, 0, engine, 0, 0}); }
-  void close_idle_connections(EngineId engine) override { add({Action::kOther, now_, 0, engine, 0, 0}); }
-  void send_gossip(uint32_t, std::string_view) override { add({Action::kOther, now_, 0, 0, 0, 0}); }
+    record({Action::kCancel, now_, id, 0, double(attempt), 0});
+  }
+  void reject(RequestId id, TimeUs retry_after_us) override {
+    record({Action::kReject, now_, id, 0, double(retry_after_us), 0});
+  }
+  void fail(RequestId id) override { record({Action::kFail, now_, id, 0, 0, 0}); }
+  void set_timer(TimeUs delay_us, uint32_t token) override { timers_.emplace_back(now_ + delay_us, token); }
+  void watch_endpoints(bool enabled) override {
+    record({Action::kWatchEndpoints, now_, 0, 0, double(enabled), 0});
+  }
+  void fetch_endpoints() override { record({Action::kOther, now_, 0, 0, 0, 0}); }
+  void check_health(EngineId engine) override { record({Action::kCheckHealth, now_, 0, engine, 0, 0}); }
+  void close_idle_connections(EngineId engine) override { record({Action::kOther, now_, 0, engine, 0, 0}); }
+  void send_gossip(uint32_t, std::string_view) override { record({Action::kOther, now_, 0, 0, 0, 0}); }
   void log(std::string_view line) override { logs.emplace_back(line); }
 
-  /// Advances the clock, firing timers in steps of 5 ms.
-  void run_for(TimeUs span) {
-    const TimeUs end = now_ + span;
+  /// Advances the clock in steps of 5 ms and fires the timers that are due.
+  void run_for(TimeUs duration_us) {
+    const TimeUs end = now_ + duration_us;
     while (now_ < end) {
       now_ = std::min(end, now_ + 5 * kMs);
       std::vector<std::pair<TimeUs, uint32_t>> due;
@@ -66,26 +70,26 @@
       for (const auto& [at, token] : due) manager_.on_timer(now_, token, *this);
     }
   }
-  /// Advances the clock without any event, as if the process stalled.
-  void stall(TimeUs span) { now_ += span; }
+  /// Advances the clock without any event, like a stalled process.
+  void stall(TimeUs duration_us) { now_ += duration_us; }
   TimeUs now() const { return now_; }
 
-  void update_endpoints(const std::vector<Endpoint>& entries,
-                        EndpointUpdateKind form = EndpointUpdateKind::kFull) {
-    manager_.on_endpoints_changed(now_, form, entries, *this);
-  }
-  void request(RequestId id, int class_index, TimeUs timeout_us, double cost_us = -1, int64_t group = -1,
-               uint64_t key = 0) {
-    QueryRequest r;
-    r.id = id;
-    r.class_index = class_index;
-    r.deadline = now_ + timeout_us;
-    if (cost_us >= 0) r.estimated_cost_us = cost_us;
-    r.table_group = group;
-    r.key = key;
-    manager_.on_request(now_, r, *this);
-  }
-  /// Completes the request's latest attempt. A negative in_flight sends no load report.
+  void update_endpoints(const std::vector<Endpoint>& endpoints,
+                        EndpointUpdateKind kind = EndpointUpdateKind::kFull) {
+    manager_.on_endpoints_changed(now_, kind, endpoints, *this);
+  }
+  void request(RequestId id, int class_index, TimeUs timeout_us, double cost_us = -1,
+               int64_t table_group = -1, uint64_t key = 0) {
+    QueryRequest new_request;
+    new_request.id = id;
+    new_request.class_index = class_index;
+    new_request.deadline = now_ + timeout_us;
+    if (cost_us >= 0) new_request.estimated_cost_us = cost_us;
+    new_request.table_group = table_group;
+    new_request.key = key;
+    manager_.on_request(now_, new_request, *this);
+  }
+  /// Completes the request's latest attempt; no load report is sent if in_flight is negative.
   void complete_attempt(RequestId id, Outcome outcome, double work_us = -1, double in_flight = -1) {
     LoadReport report;
     report.in_flight = in_flight;
@@ -100,16 +104,16 @@
       sent = &a;
       ++attempt;
     }
-    AttemptCompletion e;
-    e.id = id;
-    e.attempt = attempt;
-    e.engine = sent->engine;
-    e.outcome = outcome;
-    e.duration_us = now_ - sent->at;
-    e.request_finished = outcome == Outcome::kOk || has_final_response(id);
-    if (work_us >= 0) e.work_us = work_us;
-    e.load_report = report;
-    manager_.on_attempt_completed(now_, e, *this);
+    AttemptCompletion completion;
+    completion.id = id;
+    completion.attempt = attempt;
+    completion.engine = sent->engine;
+    completion.outcome = outcome;
+    completion.duration_us = now_ - sent->at;
+    completion.request_finished = outcome == Outcome::kOk || has_final_response(id);
+    if (work_us >= 0) completion.work_us = work_us;
+    completion.load_report = report;
+    manager_.on_attempt_completed(now_, completion, *this);
   }
   void disconnect(RequestId id) { manager_.on_client_disconnected(now_, id, *this); }
   WorkloadManager& manager() { return manager_; }
@@ -142,14 +146,15 @@
   std::vector<std::string> logs;
 
  private:
-  void add(const Action& a) { actions.push_back(a); }
+  void record(const Action& a) { actions.push_back(a); }
 
   TimeUs now_;
   std::vector<std::pair<TimeUs, uint32_t>> timers_;
   WorkloadManager manager_;
 };
 
-/// One gateway, engines of 8 cores; class 0 is short on one thread, class 1 long on four.
+/// One gateway and engines with 8 cores; queries of class 0 are short and use one thread, those of class 1
+/// are long and use four.
 inline Settings plain_settings() {
   Settings settings;
   settings.tick_us = 5 * kMs;
@@ -176,20 +181,20 @@
   return settings;
 }
 
-inline Endpoint engine(EngineId id, int zone = 0, int kind = 0, TimeUs started = 0, int cell = 0) {
-  Endpoint e;
-  e.engine = id;
-  e.zone = zone;
-  e.engine_type = kind;
-  e.started_at = started;
-  e.cell = cell;
-  return e;
+inline Endpoint engine(EngineId id, int zone = 0, int engine_type = 0, TimeUs started_at = 0, int cell = 0) {
+  Endpoint endpoint;
+  endpoint.engine = id;
+  endpoint.zone = zone;
+  endpoint.engine_type = engine_type;
+  endpoint.started_at = started_at;
+  endpoint.cell = cell;
+  return endpoint;
 }
 
-/// Engines 1 to count.
-inline std::vector<Endpoint> engines(int count, TimeUs started = 0) {
+/// Engines with the identifiers 1 to count.
+inline std::vector<Endpoint> engines(int count, TimeUs started_at = 0) {
   std::vector<Endpoint> endpoints;
-  for (int i = 1; i <= count; ++i) endpoints.push_back(engine(i, 0, 0, started));
+  for (int i = 1; i <= count; ++i) endpoints.push_back(engine(i, 0, 0, started_at));
   return endpoints;
 }
 
--- a/tests/workload/health_checker_test.cpp
+++ b/tests/workload/health_checker_test.cpp
@@ -1,4 +1,4 @@
-// Health checks before heavy queries, and what their responses are taken for.
+// Tests health checks before heavy queries, and the use of their responses.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -34,12 +34,13 @@
   return report;
 }
 
-// Sends a heavy query, completes its health checks and returns the engine it went to. One engine, returned in
-// odd_engine, responds after odd_duration_us and with another load report.
+// Sends a heavy query, completes its health checks and returns the engine that the query was sent to. One of
+// the checked engines, returned in odd_engine, differs from the others: it responds after odd_duration_us
+// with the load report invalid.
 EngineId place_after_checks(ManagerHarness& harness, RequestId id, TimeUs odd_duration_us,
                             const std::optional<LoadReport>& odd, EngineId* odd_engine) {
   harness.request(id, 1, 15 * kSecond, 6'000'000);
-  EXPECT_EQ(harness.send_count(id), 0) << "it waits for the answers";
+  EXPECT_EQ(harness.send_count(id), 0) << "the query must wait for the responses";
   const std::set<EngineId> checked = checked_engines(harness);
   EXPECT_EQ(checked.size(), 3u);
   *odd_engine = *checked.rbegin();
@@ -65,9 +66,9 @@
 TEST(HealthChecker, SlowHealthCheckShowsSaturatedEngine) {
   ManagerHarness harness(health_check_settings());
   harness.update_endpoints(engines(3));
-  EngineId jammed = 0;
-  EXPECT_NE(place_after_checks(harness, 1, 20 * kMs, utilization(0.05), &jammed), jammed)
-      << "past its peak an engine's cores wait for its disks";
+  EngineId saturated = 0;
+  EXPECT_NE(place_after_checks(harness, 1, 20 * kMs, utilization(0.05), &saturated), saturated)
+      << "a saturated engine's cores wait for its disks";
 }
 
 TEST(HealthChecker, ChecksPrecedeHeavyQueriesOnlyWhereWorthwhile) {
@@ -76,10 +77,10 @@
   light.request(1, 0, 5 * kSecond, 50'000);
   EXPECT_TRUE(checked_engines(light).empty());
   EXPECT_EQ(light.send_count(1), 1);
-  for (const bool dear : {true, false}) {
+  for (const bool costly : {true, false}) {
     Settings settings = health_check_settings();
-    settings.health_check_cost = dear ? 1 : 0.01;
-    settings.health_checks_allowed = dear;
+    settings.health_check_cost = costly ? 1 : 0.01;
+    settings.health_checks_allowed = costly;
     ManagerHarness harness(settings);
     harness.update_endpoints(engines(3));
     harness.request(1, 1, 15 * kSecond, 6'000'000);
@@ -93,18 +94,18 @@
   harness.update_endpoints(engines(4));
   harness.request(1, 1, 15 * kSecond, 6'000'000);
   harness.run_for(30 * kMs);
-  EXPECT_EQ(harness.send_count(1), 1) << "no answer within three ticks: it goes all the same";
+  EXPECT_EQ(harness.send_count(1), 1) << "without a response within three ticks the query is sent anyway";
   harness.manager().on_health_check_completed(harness.now(), 99, Outcome::kOk, kMs, utilization(0.5),
                                               harness);
   for (const Outcome o :
        {Outcome::kError, Outcome::kOverloaded, Outcome::kConnectFailed, Outcome::kTimeout}) {
     harness.manager().on_health_check_completed(harness.now(), 1, o, 250 * kMs, std::nullopt, harness);
   }
-  LoadReport odd;
-  odd.cpu_utilization = -3;
-  odd.waiting_for_memory = std::numeric_limits<double>::quiet_NaN();
-  odd.memory_utilization = std::numeric_limits<double>::infinity();
-  harness.manager().on_health_check_completed(harness.now(), 2, Outcome::kOk, 0, odd, harness);
+  LoadReport invalid;
+  invalid.cpu_utilization = -3;
+  invalid.waiting_for_memory = std::numeric_limits<double>::quiet_NaN();
+  invalid.memory_utilization = std::numeric_limits<double>::infinity();
+  harness.manager().on_health_check_completed(harness.now(), 2, Outcome::kOk, 0, invalid, harness);
   harness.manager().on_health_check_completed(harness.now(), 3, Outcome::kOk, kMs, LoadReport{}, harness);
   for (RequestId id = 2; id < 12; ++id) harness.request(id, 0, 5 * kSecond, 50'000);
   for (RequestId id = 2; id < 12; ++id) EXPECT_EQ(harness.send_count(id), 1) << id;
--- a/tests/workload/key_ordering_test.cpp
+++ b/tests/workload/key_ordering_test.cpp
@@ -1,4 +1,4 @@
-// Queries of one key run one at a time.
+// Tests that queries with the same key run one at a time.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -21,7 +21,7 @@
   harness.request(5, 0, 5 * kSecond);
   EXPECT_EQ(harness.send_count(1), 1);
   EXPECT_EQ(harness.send_count(2) + harness.send_count(3), 0);
-  EXPECT_EQ(harness.send_count(4), 1) << "another key";
+  EXPECT_EQ(harness.send_count(4), 1) << "a different key";
   EXPECT_EQ(harness.send_count(5), 1) << "no key";
   harness.complete_attempt(1, Outcome::kOk, 1000);
   EXPECT_EQ(harness.send_count(2), 1);
@@ -35,7 +35,7 @@
   harness.request(2, 0, 5 * kSecond, -1, -1, 77);
   harness.disconnect(1);
   harness.run_for(50 * kMs);
-  EXPECT_EQ(harness.send_count(2), 0) << "the attempt of the one that left is still out";
+  EXPECT_EQ(harness.send_count(2), 0) << "the attempt of the disconnected client is still in flight";
   harness.complete_attempt(1, Outcome::kCancelled);
   harness.run_for(250 * kMs);
   EXPECT_EQ(harness.send_count(2), 0);
@@ -54,7 +54,7 @@
 TEST(KeyOrdering, QueryCompletedOutOfOrderFreesKeyQueue) {
   Settings settings = ordered_settings();
   settings.classes[0].idempotency = Idempotency::kNotIdempotent;
-  settings.classes[1].ordered_by_key = true;  // all such classes draw upon one set of keys
+  settings.classes[1].ordered_by_key = true;  // classes ordered by key share one set of keys
   settings.ordering_gap_us = 0;
   ManagerHarness harness(settings);
   harness.update_endpoints({engine(1), engine(2)});
@@ -65,7 +65,7 @@
   EXPECT_EQ(harness.send_count(2) + harness.send_count(3), 0);
   harness.disconnect(2);
   harness.complete_attempt(1, Outcome::kError);
-  EXPECT_EQ(harness.send_count(1), 1) << "fragile: it may have run";
+  EXPECT_EQ(harness.send_count(1), 1) << "not idempotent, and it may have run";
   EXPECT_EQ(harness.count(Action::kFail, 1), 1);
   EXPECT_EQ(harness.send_count(3), 1);
   EXPECT_EQ(harness.send_count(2), 0);
--- a/tests/workload/latency_objective_test.cpp
+++ b/tests/workload/latency_objective_test.cpp
@@ -1,4 +1,4 @@
-// What a response is worth by the time at which it is finished.
+// Tests the priority weight of a response by the time at which it is finished.
 #include "workload/latency_objective.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace sablelink::test {
 namespace {
 
-// A query of 80 ms estimated work on 4 threads that arrived at 1 s.
+// A query with 80 ms of estimated work on 4 threads that arrived at 1 s.
 class LatencyObjective : public testing::Test {
  protected:
   LatencyObjective() {
--- a/tests/workload/load_estimator_test.cpp
+++ b/tests/workload/load_estimator_test.cpp
@@ -1,4 +1,4 @@
-// Own load and load reports: what they say, and for how long.
+// Tests the estimates of local load and the use and the aging of load reports.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -6,7 +6,8 @@
 namespace sablelink::test {
 namespace {
 
-// Whether a query follows its table group to an engine whose last report, this old, was far over the other's.
+// Whether a query is placed on the engine of its table group although that engine's last load report, of the
+// given age, was far higher than the other engine's.
 bool follows_group_to_busy_engine(TimeUs age) {
   Settings settings = plain_settings();
   settings.gateway_count = 200;
@@ -23,8 +24,7 @@
   return harness.last_engine(3) == busy;
 }
 
-// Threads that this gateway has out once every answer said that the engines' memory is granted this many
-// times.
+// Number of threads that this gateway has in flight after load reports with the given memory utilization.
 double threads_in_flight(MemoryPressurePolicy policy, double memory_utilization) {
   Settings settings = plain_settings();
   settings.gateway_count = 200;
@@ -40,14 +40,14 @@
     harness.manager().on_request(harness.now(), request, harness);
     harness.run_for(50 * kMs);
     LoadReport report;
-    report.cpu_utilization = 0.2;  // busy cores fall once an engine pages
+    report.cpu_utilization = 0.2;  // CPU utilization falls when an engine pages memory
     report.memory_utilization = memory_utilization;
     if (harness.send_count(id) > 0) harness.complete_attempt(id, Outcome::kOk, 100'000, report);
   }
   for (RequestId id = 100; id < 130; ++id) harness.request(id, 0, 5 * kSecond, 100'000);
-  double out = 0;
-  for (RequestId id = 100; id < 130; ++id) out += harness.send_count(id);
-  return out;
+  double sends = 0;
+  for (RequestId id = 100; id < 130; ++id) sends += harness.send_count(id);
+  return sends;
 }
 
 TEST(LoadEstimator, PlacementFollowsLoadReports) {
@@ -76,7 +76,7 @@
 TEST(LoadEstimator, MemoryUtilizationShowsOverloadedFleet) {
   EXPECT_GT(threads_in_flight(MemoryPressurePolicy::kOvercommit, 0.2), 20);
   EXPECT_LT(threads_in_flight(MemoryPressurePolicy::kOvercommit, 3), 10)
-      << "light ones wait, too, where all would slow down";
+      << "light queries wait as well if memory overcommitment would slow down all";
 }
 
 TEST(LoadEstimator, FleetMeanDecaysWithoutReports) {
@@ -89,21 +89,22 @@
     harness.run_for(50 * kMs);
     if (harness.send_count(id) > 0) harness.complete_attempt(id, Outcome::kOk, 100'000, 100);
   }
-  const auto sent = [&](RequestId from) {
-    int n = 0;
+  const auto send_heavy_queries = [&](RequestId from) {
+    int sends = 0;
     for (RequestId id = from; id < from + 6; ++id) {
       harness.request(id, 1, 60 * kSecond, 6'000'000);
-      n += harness.send_count(id);
+      sends += harness.send_count(id);
     }
-    return n;
+    return sends;
   };
-  EXPECT_LE(sent(100), 2) << "its part";
+  EXPECT_LE(send_heavy_queries(100), 2) << "more than the gateway's quota";
   for (RequestId id = 100; id < 106; ++id) harness.disconnect(id);
   for (RequestId id = 100; id < 106; ++id) {
     if (harness.send_count(id) > 0) harness.complete_attempt(id, Outcome::kCancelled);
   }
   harness.run_for(15 * kSecond);
-  EXPECT_GE(sent(200), 4) << "the old mean kept it at its part for good";
+  EXPECT_GE(send_heavy_queries(200), 4)
+      << "an outdated fleet mean must not limit the gateway to its quota permanently";
 }
 
 }  // namespace
--- a/tests/workload/outlier_detector_test.cpp
+++ b/tests/workload/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Ejection and recovery of engines, one case for each failure found.
+// Tests ejection and recovery of engines, with one case per failure mode.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -20,7 +20,7 @@
   EXPECT_LE(harness.send_count_to(1), 6);
 }
 
-// A client's own mistake goes wrong wherever it is sent: a flood of them must not take the fleet out.
+// Guards against the ejection of the fleet by malformed requests, which fail on every engine.
 TEST(OutlierDetector, FaultyRequestsBlameNoEngine) {
   for (const size_t engines : {2u, 4u, 8u}) {
     ManagerHarness harness(plain_settings());
@@ -37,7 +37,7 @@
       int attempts = 0;
       for (; attempts < 6 && !harness.has_final_response(id); ++attempts)
         harness.complete_attempt(id, Outcome::kError);
-      EXPECT_TRUE(harness.has_final_response(id)) << "the final answer comes at once";
+      EXPECT_TRUE(harness.has_final_response(id)) << "the final response must follow immediately";
       EXPECT_LE(attempts, 3);
     }
     harness.run_for(kSecond);
@@ -45,33 +45,33 @@
   }
 }
 
-// Connections that break say nothing of an engine that answers on the next one.
+// Broken connections are no evidence against an engine that responds on a new connection.
 TEST(OutlierDetector, ResponsiveEngineIsNotBlamedForConnections) {
-  for (const bool alive : {true, false}) {
+  for (const bool responsive : {true, false}) {
     ManagerHarness harness(plain_settings());
     harness.update_endpoints({engine(1), engine(2), engine(3), engine(4)});
     for (RequestId id = 1; id <= 60; ++id) {
       harness.request(id, 0, 5 * kSecond, 50'000);
       harness.run_for(10 * kMs);
       if (harness.last_engine(id) == 1) {
-        AttemptCompletion end;
-        end.id = id;
-        end.engine = 1;
-        end.outcome = Outcome::kReset;
-        end.engine_responsive = alive;
-        harness.manager().on_attempt_completed(harness.now(), end, harness);
-        EXPECT_EQ(harness.send_count(id), 2) << "tried again";
+        AttemptCompletion completion;
+        completion.id = id;
+        completion.engine = 1;
+        completion.outcome = Outcome::kReset;
+        completion.engine_responsive = responsive;
+        harness.manager().on_attempt_completed(harness.now(), completion, harness);
+        EXPECT_EQ(harness.send_count(id), 2) << "the query must be retried";
       }
       harness.complete_attempt(id, Outcome::kOk, 50'000);
     }
-    EXPECT_EQ(harness.logs.empty(), alive);
+    EXPECT_EQ(harness.logs.empty(), responsive);
   }
 }
 
 TEST(OutlierDetector, ErrorsOfOneEngineAloneAreBlamedOnIt) {
   ManagerHarness harness(plain_settings());
   harness.update_endpoints({engine(1), engine(2), engine(3), engine(4)});
-  // The next attempt is out and says nothing: after a while the first engine is to blame all the same.
+  // The retry stays in flight without an outcome; after a delay the error is attributed to the first engine.
   for (RequestId id = 1; id <= 40 && harness.logs.empty(); ++id) {
     harness.request(id, 0, 5 * kSecond, 400'000);
     harness.run_for(10 * kMs);
@@ -82,36 +82,36 @@
   EXPECT_EQ(harness.logs[0], "engine taken out: failures");
 }
 
-TEST(OutlierDetector, SilentEngineIsEjectedAndRecoversByTrialQueries) {
+TEST(OutlierDetector, SilentEngineIsEjectedAndRecoversByCheckQueries) {
   Settings settings = plain_settings();
   settings.cancellation_allowed = false;
   ManagerHarness harness(settings);
   harness.update_endpoints({engine(1), engine(2), engine(3), engine(4)});
   bool hung = true;
-  int during = 0;
-  std::set<RequestId> stuck;
-  const auto traffic = [&](RequestId from, RequestId to, int* count) {
+  int sends_while_hung = 0;
+  std::set<RequestId> unfinished;
+  const auto run_queries = [&](RequestId from, RequestId to, int* count) {
     for (RequestId id = from; id < to; ++id) {
       harness.request(id, 0, 5 * kSecond, 50'000);
       harness.run_for(50 * kMs);
       if (harness.last_engine(id) == 1 && count) ++*count;
       if (harness.last_engine(id) == 1 && hung) {
-        stuck.insert(id);
+        unfinished.insert(id);
       } else {
         harness.complete_attempt(id, Outcome::kOk, 50'000);
       }
     }
   };
-  traffic(1, 100, nullptr);
+  run_queries(1, 100, nullptr);
   ASSERT_FALSE(harness.logs.empty());
-  traffic(100, 200, &during);
-  EXPECT_LE(during, 5) << "only trials";
+  run_queries(100, 200, &sends_while_hung);
+  EXPECT_LE(sends_while_hung, 5) << "only recovery checks may be sent";
   hung = false;
-  for (const RequestId id : stuck) harness.complete_attempt(id, Outcome::kTimeout);
-  traffic(200, 500, nullptr);
-  int after = 0;
-  traffic(500, 600, &after);
-  EXPECT_GE(after, 8) << "back in service";
+  for (const RequestId id : unfinished) harness.complete_attempt(id, Outcome::kTimeout);
+  run_queries(200, 500, nullptr);
+  int sends_after_recovery = 0;
+  run_queries(500, 600, &sends_after_recovery);
+  EXPECT_GE(sends_after_recovery, 8) << "the engine must be back in service";
 }
 
 TEST(OutlierDetector, AtLeastHalfStaysInServiceWhenMostFail) {
@@ -123,7 +123,7 @@
     for (int i = 0; i < 6 && !harness.has_final_response(id) && harness.send_count(id) > i; ++i)
       harness.complete_attempt(id, Outcome::kError);
   }
-  EXPECT_LE(harness.logs.size(), 2u) << "never over half";
+  EXPECT_LE(harness.logs.size(), 2u) << "at most half of the engines may be ejected";
   std::set<EngineId> used;
   for (const Action& a : harness.actions) {
     if (a.kind == Action::kSend && a.id > 50) used.insert(a.engine);
@@ -134,21 +134,22 @@
 TEST(OutlierDetector, UnreachableEnginesAreEjectedEvenIfMost) {
   ManagerHarness harness(plain_settings());
   harness.update_endpoints({engine(1), engine(2), engine(3), engine(4)});
-  const auto traffic = [&](RequestId from, RequestId to) {
-    int lost = 0;
+  const auto run_queries = [&](RequestId from, RequestId to) {
+    int failed_attempts = 0;
     for (RequestId id = from; id < to; ++id) {
       harness.request(id, 0, 5 * kSecond, 50'000);
       for (int i = 0; i < 5 && harness.last_engine(id) != 4 && harness.send_count(id) > i; ++i) {
-        ++lost;
+        ++failed_attempts;
         harness.complete_attempt(id, Outcome::kConnectFailed);
       }
       harness.run_for(10 * kMs);
       if (harness.last_engine(id) == 4) harness.complete_attempt(id, Outcome::kOk, 50'000);
     }
-    return lost;
+    return failed_attempts;
   };
-  traffic(1, 40);
-  EXPECT_LE(traffic(40, 140), 10) << "incident i5c8115: a gateway cut off from most engines kept trying them";
+  run_queries(1, 40);
+  EXPECT_LE(run_queries(40, 140), 10)
+      << "incident i5c8115: a gateway disconnected from most engines kept sending to them";
 }
 
 }  // namespace
--- a/tests/workload/placement_test.cpp
+++ b/tests/workload/placement_test.cpp
@@ -1,4 +1,4 @@
-// Which engine and which position a query gets.
+// Tests the choice of the engine and of the queue position.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -58,7 +58,7 @@
     harness.request(1, 0, 5 * kSecond, 100'000, 7);
     ++preferred[harness.last_engine(1)];
   }
-  EXPECT_LE(preferred.size(), 4u) << "thirty gateways spread a group over few of forty engines";
+  EXPECT_LE(preferred.size(), 4u) << "30 gateways must concentrate a table group on few of 40 engines";
 }
 
 }  // namespace
--- a/tests/workload/query_scheduler_test.cpp
+++ b/tests/workload/query_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Sends, priorities and final responses of queries.
+// Tests sends, priorities and final responses.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -17,7 +17,8 @@
   EXPECT_FALSE(harness.has_final_response(7));
 }
 
-// Rule 1 at a planned end: refused where nothing may have run, or it may run again, else failed.
+// Rule 1 at a planned shutdown: a request is rejected if nothing has run or it may run again, and failed
+// otherwise.
 TEST(QueryScheduler, ShutdownCompletesAllRequests) {
   Settings settings = plain_settings();
   settings.classes[1].idempotency = Idempotency::kNotIdempotent;
--- a/tests/workload/retry_policy_test.cpp
+++ b/tests/workload/retry_policy_test.cpp
@@ -1,5 +1,5 @@
-// Idempotency, attempt limits and the retry budget, each by a case in which a send or a response would break
-// it.
+// Tests idempotency, attempt limits and the retry budget, each with a case in which a send or a response
+// would violate it.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -70,8 +70,9 @@
   EXPECT_EQ(harness.last_engine(7) == 1 || harness.last_engine(7) == 4, first_zone);
   harness.run_for(2100 * kMs);
   harness.complete_attempt(7, Outcome::kReset);
-  EXPECT_EQ(harness.send_count(7), 2) << "the window is past";
-  EXPECT_EQ(harness.count(Action::kFail, 7), 1) << "and a refusal would invite a repeat elsewhere";
+  EXPECT_EQ(harness.send_count(7), 2) << "the deduplication window has ended";
+  EXPECT_EQ(harness.count(Action::kFail, 7), 1)
+      << "after a rejection the client could retry on another endpoint";
 }
 
 TEST(RetryPolicy, KeyedQueryOfGlobalScopeMayBeRejected) {
@@ -95,13 +96,13 @@
   settings.classes[0].idempotency = Idempotency::kIdempotentWithKey;
   settings.classes[0].dedup_window_us = kSecond;
   settings.max_send_delay_us = 200 * kMs;
-  for (const TimeUs after : {700 * kMs, 900 * kMs}) {
+  for (const TimeUs delay_us : {700 * kMs, 900 * kMs}) {
     ManagerHarness harness(settings);
     harness.update_endpoints({engine(1), engine(2)});
     harness.request(7, 0, 5 * kSecond);
-    harness.run_for(after);
+    harness.run_for(delay_us);
     harness.complete_attempt(7, Outcome::kReset);
-    EXPECT_EQ(harness.send_count(7), after < 800 * kMs ? 2 : 1);
+    EXPECT_EQ(harness.send_count(7), delay_us < 800 * kMs ? 2 : 1);
   }
 }
 
@@ -113,24 +114,25 @@
   settings.retry_budget_window_us = 10 * kSecond;
   ManagerHarness harness(settings);
   harness.update_endpoints({engine(1), engine(2), engine(3), engine(4), engine(5)});
-  int extra = 0;
+  int retries = 0;
   for (RequestId id = 1; id <= 20; ++id) {
     harness.request(id, 0, 5 * kSecond);
     harness.complete_attempt(id, Outcome::kOverloaded);
     if (harness.send_count(id) > 1) {
-      ++extra;
+      ++retries;
       harness.complete_attempt(id, Outcome::kOk, 1000);
     }
-    EXPECT_LE(extra, 2 + 0.1 * id);
+    EXPECT_LE(retries, 2 + 0.1 * id);
   }
-  EXPECT_GE(extra, 3);
+  EXPECT_GE(retries, 3);
   harness.run_for(11 * kSecond);
   harness.request(50, 0, 5 * kSecond);
   harness.complete_attempt(50, Outcome::kOverloaded);
-  EXPECT_EQ(harness.send_count(50), 2) << "the window has moved on";
+  EXPECT_EQ(harness.send_count(50), 2) << "the earlier retries are older than the window";
 }
 
-// Decided now, an attempt may leave up to the lag later, together with those of a lag later.
+// An attempt may be sent up to max_send_delay_us after its decision, and then falls into one window with
+// attempts that are decided and sent later.
 TEST(RetryPolicy, RetryBudgetCoversDelayedSends) {
   Settings settings = plain_settings();
   settings.retry_budget_enabled = true;
@@ -139,18 +141,18 @@
   settings.max_send_delay_us = 200 * kMs;
   ManagerHarness harness(settings);
   harness.update_endpoints({engine(1), engine(2), engine(3)});
-  const auto further = [&](RequestId id) {
+  const auto request_is_retried = [&](RequestId id) {
     harness.request(id, 0, 5 * kSecond);
     harness.complete_attempt(id, Outcome::kOverloaded);
     const bool sent = harness.send_count(id) == 2;
     if (sent) harness.complete_attempt(id, Outcome::kOk, 1000);
     return sent;
   };
-  EXPECT_TRUE(further(1));
+  EXPECT_TRUE(request_is_retried(1));
   harness.run_for(1100 * kMs);
-  EXPECT_FALSE(further(2)) << "the first may have left 200 ms after its decision";
+  EXPECT_FALSE(request_is_retried(2)) << "the first retry may have been sent 200 ms after its decision";
   harness.run_for(200 * kMs);
-  EXPECT_TRUE(further(3));
+  EXPECT_TRUE(request_is_retried(3));
 }
 
 }  // namespace
--- a/tests/workload/send_guard_test.cpp
+++ b/tests/workload/send_guard_test.cpp
@@ -1,4 +1,4 @@
-// The rules of every send, each by a case in which a send would break it.
+// Tests the rules for sends, each with a case in which a send would violate it.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -11,11 +11,12 @@
   harness.update_endpoints({engine(1), engine(2)});
   harness.request(7, 0, 5 * kSecond, 100'000);
   harness.run_for(900 * kMs);
-  ASSERT_EQ(harness.count(Action::kCancel, 7), 1) << "far past its expectation: cancelled";
-  EXPECT_EQ(harness.send_count(7), 1) << "but not sent again before the outcome";
+  ASSERT_EQ(harness.count(Action::kCancel, 7), 1)
+      << "an attempt far beyond its expected duration must be cancelled";
+  EXPECT_EQ(harness.send_count(7), 1) << "the retry must wait for the outcome";
   harness.complete_attempt(7, Outcome::kCancelled);
   EXPECT_EQ(harness.send_count(7), 2);
-  EXPECT_NE(harness.actions[0].engine, harness.last_engine(7)) << "and elsewhere";
+  EXPECT_NE(harness.actions[0].engine, harness.last_engine(7)) << "the retry must use another engine";
 }
 
 TEST(SendGuard, DrainingOrRemovedEngineGetsNothing) {
@@ -60,7 +61,7 @@
   EXPECT_TRUE(harness.has_final_response(8));
 }
 
-// A send may wait for a connection: what held at its decision has to hold as it leaves.
+// A send may wait for a connection: the rules must hold when it is decided and when it is sent.
 TEST(SendGuard, DelayedSendLeavesOnlyWhileStillValid) {
   Settings settings = plain_settings();
   settings.classes[0].idempotency = Idempotency::kIdempotentWithKey;
@@ -75,18 +76,19 @@
   ASSERT_EQ(harness.send_count(1), 2);
   EXPECT_TRUE(harness.manager().is_attempt_still_valid(harness.now() + 400 * kMs, 1, 1, harness));
   EXPECT_FALSE(harness.manager().is_attempt_still_valid(harness.now() + 600 * kMs, 1, 1, harness))
-      << "past the window of its repeats";
+      << "after the deduplication window";
   harness.request(2, 1, 5 * kSecond);
   ASSERT_EQ(harness.send_count(2), 1);
   harness.update_endpoints({engine(1, 0, 0, 0), engine(2, 0, 0, 0)});
   EXPECT_TRUE(harness.manager().is_attempt_still_valid(harness.now(), 2, 0, harness));
-  Endpoint leaving = engine(harness.last_engine(2));
-  leaving.state = EndpointState::kDraining;
-  harness.update_endpoints({leaving}, EndpointUpdateKind::kDelta);
-  EXPECT_FALSE(harness.manager().is_attempt_still_valid(harness.now(), 2, 0, harness)) << "its engine drains";
+  Endpoint draining = engine(harness.last_engine(2));
+  draining.state = EndpointState::kDraining;
+  harness.update_endpoints({draining}, EndpointUpdateKind::kDelta);
+  EXPECT_FALSE(harness.manager().is_attempt_still_valid(harness.now(), 2, 0, harness))
+      << "the engine is draining";
   harness.disconnect(2);
   EXPECT_FALSE(harness.manager().is_attempt_still_valid(harness.now(), 2, 0, harness))
-      << "its client has left";
+      << "the client has disconnected";
 }
 
 TEST(SendGuard, DelayedSendCountsWhenItLeaves) {
@@ -104,7 +106,7 @@
   harness.run_for(200 * kMs);
   harness.request(2, 0, 20 * kSecond);
   harness.complete_attempt(2, Outcome::kReset);
-  EXPECT_EQ(harness.send_count(2), 1) << "the only one that the window allows left 200 ms ago";
+  EXPECT_EQ(harness.send_count(2), 1) << "the only retry allowed in the window was sent 200 ms ago";
 }
 
 }  // namespace
--- a/tests/workload/settings_parser_test.cpp
+++ b/tests/workload/settings_parser_test.cpp
@@ -1,4 +1,4 @@
-// Settings by the platform's names, and errors in them.
+// Tests the platform's setting names and errors in settings.
 #include "workload/settings_parser.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
 void expect_error(const std::string& text, const std::string& key) {
   try {
     parse_settings(text);
-    ADD_FAILURE() << "no error for " << key;
+    ADD_FAILURE() << "expected an error for " << key;
   } catch (const SettingsError& e) {
     EXPECT_NE(std::string(e.what()).find(key), std::string::npos) << e.what();
   }
--- a/tests/workload/slow_start_test.cpp
+++ b/tests/workload/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Engines that warm up get no more than they bear.
+// Tests that warming engines receive no more work than they can take.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,14 +13,14 @@
 namespace sablelink::test {
 namespace {
 
-// Work sent to an engine that warms up within one window, in core-microseconds. Queries of class 0 take 200
-// ms, spread_us more or less in turn. one_query: a single one is rejected by the engine and retried over and
-// over.
+// Work sent to a warming engine within one window, in core-microseconds. Queries of class 0 take 200 ms,
+// alternately plus and minus spread_us. With one_query, a single query is repeatedly rejected as overloaded
+// and retried.
 double work_sent_us(int gateways, bool gateway_just_started, double spread_us = 0, bool one_query = false) {
   Settings settings = plain_settings();
   settings.gateway_count = gateways;
   settings.max_attempts = 100;
-  // So light that this gateway's budget holds one.
+  // Short enough that this gateway's budget is larger than one query.
   settings.classes[1].latency_objective_us = 400 * kMs;
   ManagerHarness harness(settings);
   if (!gateway_just_started) {
@@ -48,7 +48,7 @@
 }
 
 TEST(SlowStart, SendsStayWithinThisGatewaysBudget) {
-  const double limit = 3 * 0.35 * 8 * 1500'000;  // multiple x fraction x cores x window
+  const double limit = 3 * 0.35 * 8 * 1500'000;  // load multiple x capacity fraction x cores x window
   const double alone = work_sent_us(1, false);
   const double one_of_three = work_sent_us(3, false);
   EXPECT_GT(alone, 0);
@@ -57,7 +57,8 @@
   EXPECT_LE(one_of_three, 1.7 * limit / 3);
 }
 
-// Simulated worlds 1906, 2257 and 3547: unreported work came to more than its mean.
+// Found in simulated worlds 1906, 2257 and 3547: the actual work of queries without reported work exceeded
+// their mean.
 TEST(SlowStart, BudgetLeavesMarginForVarianceOfWork) {
   const double even = work_sent_us(8, false);
   const double varying = work_sent_us(8, false, 180'000);
@@ -76,11 +77,11 @@
   Settings settings = plain_settings();
   settings.gateway_count = gateways;
   const TimeUs start = 100 * kSecond;
-  std::map<TimeUs, double> sent;  // work by 100 ms
+  std::map<TimeUs, double> sent;  // work by intervals of 100 ms
   for (int g = 0; g < gateways; ++g) {
     ManagerHarness harness(settings, start, 1000 + g);
     harness.update_endpoints({engine(1, 0, 0, start)});
-    for (RequestId id = 1; id <= 150; ++id) {  // far more than the engine may get
+    for (RequestId id = 1; id <= 150; ++id) {  // far more than the engine can take
       harness.request(id, id % 4 == 0, 5 * kSecond);
       harness.run_for(20 * kMs);
       if (harness.send_count(id) > 0)
@@ -97,14 +98,14 @@
     EXPECT_LE(window, 3 * 0.35 * 8 * 1500'000) << "from " << at * 100 << " ms";
     all += work;
   }
-  EXPECT_GT(all, 0.1 * 3 * 0.35 * 8 * 3'000'000) << "the engine is used, too";
+  EXPECT_GT(all, 0.1 * 3 * 0.35 * 8 * 3'000'000) << "the engine must receive work";
 }
 
-// Gateways, each unaware of the others, under a burst: traffic is uneven, work varies, attempts are rejected
-// as overloaded and retried, and some gateways restart while an engine warms up.
+// A burst of requests on independent gateways: traffic is uneven, work varies, attempts are rejected as
+// overloaded and retried, and some gateways restart during an engine's slow start.
 class BurstFleet {
  public:
-  static constexpr double kWorkUs = 200'000;  // of a query, in the mean
+  static constexpr double kWorkUs = 200'000;  // mean work of a query
   static constexpr TimeUs kEngineStart = 100 * kSecond;
 
   BurstFleet() : settings_(plain_settings()), gateways_(kGateways) {
@@ -112,7 +113,7 @@
     for (Gateway& gateway : gateways_) start_gateway(gateway, kFleetStart, false);
   }
 
-  // Times of the sends to the engine that starts, in ascending order.
+  // Returns the times of the sends to the starting engine, in ascending order.
   std::vector<TimeUs> run_for(TimeUs span) {
     bool engine_listed = false;
     for (TimeUs now = kFleetStart; now < kEngineStart + span; now += kStepUs) {
@@ -130,14 +131,14 @@
     std::unique_ptr<ManagerHarness> harness;
     RequestId last_request = 0;
     size_t actions_seen = 0;
-    std::vector<std::pair<TimeUs, RequestId>> in_flight;  // by time of completion
+    std::vector<std::pair<TimeUs, RequestId>> in_flight;  // with the time of completion
   };
   static constexpr int kGateways = 30;
   static constexpr TimeUs kStepUs = 10 * kMs;
   static constexpr TimeUs kFleetStart = kEngineStart - 30 * kSecond;
   static constexpr EngineId kStartingEngine = 4;
 
-  double draw() {  // 0 to 1
+  double draw() {  // in [0, 1)
     random_state_ = random_state_ * 6364136223846793005ull + 1442695040888963407ull;
     return static_cast<double>(random_state_ >> 11) / static_cast<double>(1ull << 53);
   }
@@ -159,7 +160,8 @@
   void step(Gateway& gateway, int index, TimeUs now) {
     if (now == kEngineStart + 700 * kMs && index % 6 == 0) start_gateway(gateway, now, true);
     gateway.harness->run_for(kStepUs);
-    // 15 requests a second for most, 60 for some, and three times as many once the engine has started.
+    // Most gateways receive 15 requests per second and some 60; all receive three times as many after the
+    // engine's start.
     const double rate = (index % 5 == 0 ? 60 : 15) * (now >= kEngineStart ? 3 : 1);
     if (draw() < rate * kStepUs / kSecond) gateway.harness->request(++gateway.last_request, 0, 5 * kSecond);
     complete_attempts(gateway);
@@ -195,23 +197,23 @@
   std::vector<TimeUs> sent_;
 };
 
-// What all gateways send to the engine within any window stays under what the settings allow, and a margin
-// for the variance of so many sends.
+// Within any window, the work that all gateways send to the engine must stay within the limit in the settings
+// plus a margin for the variance of this many sends.
 TEST(SlowStart, ThirtyGatewaysDoNotCollapseEngine) {
   BurstFleet fleet;
   const std::vector<TimeUs> sent = fleet.run_for(3 * kSecond);
   const Settings& settings = fleet.settings();
-  size_t most = 0;
+  size_t max_in_window = 0;
   size_t first = 0;
   for (size_t last = 0; last < sent.size(); ++last) {
     while (sent[last] - sent[first] > settings.collapse_window_us) ++first;
-    most = std::max(most, last - first + 1);
+    max_in_window = std::max(max_in_window, last - first + 1);
   }
   const double allowed = settings.collapse_load_multiple * settings.slow_start_min_capacity_fraction * 8 *
                          settings.collapse_window_us / BurstFleet::kWorkUs;
-  EXPECT_GT(most, 10u) << "it gets its part all the same";
-  EXPECT_LE(most, allowed + 2 * std::sqrt(allowed) + 2);
-  RecordProperty("most_in_a_window", static_cast<int>(most));
+  EXPECT_GT(max_in_window, 10u) << "the engine still receives work";
+  EXPECT_LE(max_in_window, allowed + 2 * std::sqrt(allowed) + 2);
+  RecordProperty("most_in_a_window", static_cast<int>(max_in_window));
   RecordProperty("allowed", static_cast<int>(allowed));
 }
 
--- a/tests/workload/straggler_detector_test.cpp
+++ b/tests/workload/straggler_detector_test.cpp
@@ -1,4 +1,4 @@
-// Attempts that take far too long.
+// Tests the handling of attempts that take far longer than expected.
 #include <gtest/gtest.h>
 
 #include "tests/workload/harness.h"
@@ -23,7 +23,8 @@
   harness.manager().on_progress(
       harness.now(), ProgressUpdate{7, 1, harness.last_engine(7), ProgressKind::kProgress, 0.04}, harness);
   harness.run_for(50 * kMs);
-  EXPECT_EQ(harness.count(Action::kCancel, 7), 1) << "slow again: heavy in itself, left to run";
+  EXPECT_EQ(harness.count(Action::kCancel, 7), 1)
+      << "a second slow attempt shows a heavy query, which must not be cancelled";
 }
 
 TEST(StragglerDetector, QueryWithHighEstimateIsLeftToRun) {
@@ -44,18 +45,18 @@
   EXPECT_EQ(cancelled, 0);
 }
 
-TEST(StragglerDetector, NothingIsJudgedAfterStallBeforeOutcomesAreRead) {
+TEST(StragglerDetector, NoAttemptIsCancelledAfterStallBeforeOutcomesAreRead) {
   ManagerHarness harness(plain_settings());
   harness.update_endpoints(engines(4));
   for (RequestId id = 1; id <= 3; ++id) harness.request(id, 0, 5 * kSecond, 100'000);
   harness.run_for(50 * kMs);
   harness.stall(2 * kSecond);
-  harness.run_for(5 * kMs);  // timers come first in the batch, answers after them
+  harness.run_for(5 * kMs);  // timers come before responses in a batch
   for (RequestId id = 1; id <= 3; ++id) {
     EXPECT_EQ(harness.count(Action::kCancel, id), 0);
     harness.complete_attempt(id, Outcome::kOk, 100'000);
   }
-  EXPECT_TRUE(harness.logs.empty()) << "no engine was taken out";
+  EXPECT_TRUE(harness.logs.empty()) << "no engine may be ejected";
 }
 
 }  // namespace
--- a/tests/workload/workload_manager_test.cpp
+++ b/tests/workload/workload_manager_test.cpp
@@ -1,4 +1,4 @@
-// The public class: each kind of event from first to last.
+// Tests the public class with each kind of event.
 #include <gtest/gtest.h>
 
 #include <utility>
@@ -46,15 +46,15 @@
   harness.manager().on_timer(harness.now(), 12345, harness);
   harness.manager().on_progress(harness.now(), ProgressUpdate{99, 0, 1, ProgressKind::kProgress, 0.5},
                                 harness);
-  AttemptCompletion end;
-  end.id = 99;
-  end.engine = 55;
-  harness.manager().on_attempt_completed(harness.now(), end, harness);
+  AttemptCompletion completion;
+  completion.id = 99;
+  completion.engine = 55;
+  harness.manager().on_attempt_completed(harness.now(), completion, harness);
   harness.request(7, 9, kSecond);
-  EXPECT_EQ(harness.count(Action::kReject, 7), 1) << "a class that the settings don't have";
+  EXPECT_EQ(harness.count(Action::kReject, 7), 1) << "the settings have no such class";
 }
 
-TEST(WorkloadManager, OddFleetsAndGossipAreHarmless) {
+TEST(WorkloadManager, UnusualFleetsAndGossipAreHarmless) {
   Settings settings = plain_settings();
   settings.gateway_count = 5000;
   ManagerHarness harness(settings);
@@ -76,7 +76,7 @@
 }
 
 TEST(WorkloadManager, SameEventsGiveSameActions) {
-  const auto play = [] {
+  const auto run = [] {
     ManagerHarness harness(plain_settings());
     harness.update_endpoints({engine(1), engine(2), engine(3)});
     for (RequestId id = 1; id <= 40; ++id) {
@@ -89,7 +89,7 @@
     for (const Action& a : harness.actions) sent.emplace_back(a.id, a.engine);
     return sent;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(run(), run());
 }
 
 }  // namespace
