--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -130,8 +130,8 @@
   }
   for (const NodeKillRecord& k : records.node_kills) add(k.at, 0, [&] { rules.node_killed(k.at, k.node); });
   for (const ClientRecord& c : records.clients) {
-    add(c.asked_at - settings.slack_us, 1,
-        [&] { rules.request_started(c); });  // before the event of any node
+    // Before any event of a node for this request, despite different clocks.
+    add(c.asked_at - settings.slack_us, 1, [&] { rules.request_started(c); });
     add(c.ended_at, 3, [&] { rules.request_ended(c); });
   }
   for (const NodeEvent& e : records.nodes) add(e.at, 2, [&] { apply(rules, e); });
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -58,7 +58,7 @@
 Rules::Attempt* Rules::find(const std::string& request, int attempt) {
   const auto it = requests_.find(request);
   if (it == requests_.end()) return nullptr;
-  // The latest attempt with the number; attempts with equal numbers are reported elsewhere.
+  // The latest attempt with the number; equal numbers are reported by attempt_started().
   for (auto a = it->second->attempts.rbegin(); a != it->second->attempts.rend(); ++a)
     if ((*a)->number == attempt) return a->get();
   return nullptr;
@@ -300,7 +300,8 @@
     }
 }
 
-// Rule 3: a gateway sends no attempts to a node that it knows to be draining or removed.
+// Rule 3: after a grace period, a gateway sends no attempts to a node that it knows to be draining or
+// removed.
 void Rules::check_drain(const Attempt& a) {
   const auto is_candidate = [&](const std::string& node) {
     const auto facts = node_facts_.find(node);
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -192,7 +192,7 @@
   switch (event.kind) {
     case NodeEvent::Kind::kStarted:
       log_event(event.node + " starts");
-      // At the start of a simulation, nodes have been running for long.
+      // At the start of a simulation, nodes have been running for a long time.
       rules_.node_started(world_.now(), event.node, !started_nodes_.insert(event.node).second);
       break;
     case NodeEvent::Kind::kArrived:
--- a/src/sim/observer.h
+++ b/src/sim/observer.h
@@ -1,6 +1,6 @@
 // Observes a simulation from outside the gateways: the calls on the network, the events of the nodes and the
-// actions of the driver. It doesn't rely on information from the gateways. Passes the events to the rules
-// (audit/rules.h) after every step and writes the event log.
+// actions of the driver. Of the gateways' own information, it uses only the log events of planning calls.
+// Passes the events to the rules (audit/rules.h) and writes the event log.
 #pragma once
 
 #include <array>
@@ -60,8 +60,7 @@
   void gateway_stalled(const std::string& gateway, TimeUs until);
   void clock_jumped(const std::string& gateway, TimeUs by);
   void node_killed(const std::string& node);
-  // A gateway makes a planning call. It doesn't show in the calls of clients because the gateway itself
-  // requests it.
+  // A gateway makes a planning call, as its log says. No call of a client corresponds to it.
   void planning_call_started(const std::string& gateway, const std::string& tag);
   // A client's request has ended. `cancelled`: the client cancelled it.
   void client_request_ended(audit::ClientRecord client, const flightsql::QueryResult& result, bool cancelled);
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -303,7 +303,7 @@
     n.cell = i / 2;
     nodes_.push_back(std::move(n));
     start(nodes_.back());
-    nodes_.back().started_at = 0;  // long ago: it has warmed up
+    nodes_.back().started_at = 0;  // it has warmed up long before the run
   }
 
   void start(Node& n) {
--- a/src/sim/run.h
+++ b/src/sim/run.h
@@ -58,15 +58,14 @@
   Ends ends;
   uint64_t attempts = 0, further_attempts = 0, plans = 0;
   // Of the last incarnation of each gateway: streamed responses, those of them that were streamed because the
-  // buffers of all requests were full, and clients that cancelled with bytes unread.
+  // total buffer limit was reached, and clients that cancelled with bytes unread.
   uint64_t streams = 0, bound_reached = 0, left_unread = 0;
   audit::RuleCounts counts;
 };
 
 RunResult run(const Scenario& scenario, const RunOptions& options = {});
 
-// The number of pairs of faults that overlap in time, by their kinds; a pair is counted at [a][b] with a <=
-// b.
+// The number of pairs of faults that overlap in time, by their kinds, at [a][b] with a <= b.
 using Pairs = std::array<std::array<uint32_t, kTroubles>, kTroubles>;
 void count_pairs(const Scenario& scenario, Pairs* pairs);
 
