--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -576,7 +576,7 @@
     refused_addresses_.erase(address);
 }
 
-void Network::blackhole_connections(const std::string& address, bool on) {
+void Network::blackhole(const std::string& address, bool on) {
   if (on)
     blackholed_addresses_.insert(address);
   else
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -83,7 +83,7 @@
   // ---- Faults. The address "" stands for all addresses.
   // New connections are refused at once, or are never established.
   void refuse_connections(const std::string& address, bool on);
-  void blackhole_connections(const std::string& address, bool on);
+  void blackhole(const std::string& address, bool on);
   // Delays every message in both directions; 0: no additional delay.
   void set_added_delay(const std::string& address, TimeUs delay_us);
   // Buffers all messages between the two, neither of which is notified. At the end the messages are delivered
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -182,16 +182,16 @@
     for (int i = 0; i < scenario_.gateways; ++i) add_gateway(i);
     for (int i = 0; i < scenario_.client_processes; ++i) add_client_process(i);
     for (const RequestEvent& r : scenario_.requests) schedule_request(r);
-    for (const FaultEvent& fault : scenario_.troubles) {
-      if (fault.kind == Trouble::kHotKey) schedule_hot_key_requests(fault);
-      world_.at(start_time_ + fault.at, [this, fault] { begin_fault(fault); });
+    for (const FaultEvent& f : scenario_.troubles) {
+      if (f.kind == Trouble::kHotKey) schedule_hot_key_requests(f);
+      world_.at(start_time_ + f.at, [this, f] { begin_fault(f); });
     }
     TimeUs end = start_time_ + scenario_.duration_us;
-    for (const FaultEvent& fault : scenario_.troubles) {
-      const int repetitions = fault.kind == Trouble::kRollingDeploy           ? scenario_.nodes
-                              : fault.kind == Trouble::kGatewayRollingRestart ? scenario_.gateways
-                                                                              : 1;
-      end = std::max(end, start_time_ + fault.at + fault.duration_us * repetitions);
+    for (const FaultEvent& f : scenario_.troubles) {
+      const int repetitions = f.kind == Trouble::kRollingDeploy           ? scenario_.nodes
+                              : f.kind == Trouble::kGatewayRollingRestart ? scenario_.gateways
+                                                                          : 1;
+      end = std::max(end, start_time_ + f.at + f.duration * repetitions);
     }
     TimeUs next_check_at = end + kSettleCheckIntervalUs;
     end += kMaxSettleTimeUs;
@@ -257,7 +257,7 @@
     std::map<std::string, EndpointState> reported_states;  // the latest reported state of each node
     TimeUs discovery_down_until = 0;                       // end of a discovery outage
     std::vector<config::EngineConfig> startup_list;  // node list of its next start; empty: the current one
-    TimeUs incomplete_list_until = 0, duplicate_list_until = 0;
+    TimeUs partial_list_until = 0, duplicate_list_until = 0;
   };
   struct ClientProcess {
     std::shared_ptr<Actor> actor;
@@ -408,7 +408,7 @@
     for (size_t i = 0; i < nodes_.size(); ++i) {
       const Node& n = nodes_[i];
       if (n.state == EndpointState::kRemoved) continue;
-      if (world_.now() < g.incomplete_list_until && (i + g.index) % 3 == 0) continue;
+      if (world_.now() < g.partial_list_until && (i + g.index) % 3 == 0) continue;
       config::EngineConfig entry;
       entry.name = entry.address = n.name;
       entry.state = n.state;
@@ -476,16 +476,16 @@
     });
   }
 
-  void schedule_hot_key_requests(const FaultEvent& fault) {
-    for (int i = 0; i < static_cast<int>(fault.value); ++i) {
-      RandomStream random(scenario_.seed, "hot/" + std::to_string(fault.number) + "/" + std::to_string(i));
+  void schedule_hot_key_requests(const FaultEvent& f) {
+    for (int i = 0; i < static_cast<int>(f.value); ++i) {
+      RandomStream random(scenario_.seed, "hot/" + std::to_string(f.number) + "/" + std::to_string(i));
       RequestEvent r;
-      r.number = 1'000'000'000 + fault.number * 100'000 + static_cast<uint64_t>(i);
-      r.at = fault.at + random.between(0, fault.duration_us);
-      r.client_process = fault.target;
-      r.gateway = fault.second_target;
-      r.cls = fault.target % 2 == 0 ? "ordered" : "keyed";
-      r.key = "hot" + std::to_string(fault.number);
+      r.number = 1'000'000'000 + f.number * 100'000 + static_cast<uint64_t>(i);
+      r.at = f.at + random.between(0, f.duration);
+      r.client_process = f.target;
+      r.gateway = f.peer;
+      r.cls = f.target % 2 == 0 ? "ordered" : "keyed";
+      r.key = "hot" + std::to_string(f.number);
       r.work_us = 20'000;
       r.timeout_us = 2 * kSecond;
       schedule_request(r);
@@ -570,7 +570,7 @@
 
   // ---- Faults
 
-  Node& node_of(const FaultEvent& fault) { return nodes_[fault.target % nodes_.size()]; }
+  Node& node_of(const FaultEvent& f) { return nodes_[f.target % nodes_.size()]; }
   Gateway& gateway_of(int target) { return gateways_[target % gateways_.size()]; }
 
   void schedule_restart(Node& n, TimeUs after) {
@@ -617,149 +617,141 @@
     });
   }
 
-  void inject_node_fault(const FaultEvent& fault, nodes::FaultKind kind, double value = 1) {
-    Node& n = node_of(fault);
-    if (n.up()) n.stand_in->begin_fault(kind, fault.duration_us, value);
+  void inject_node_fault(const FaultEvent& f, nodes::FaultKind kind, double value = 1) {
+    Node& n = node_of(f);
+    if (n.up()) n.stand_in->begin_fault(kind, f.duration, value);
   }
 
   // Switches a fault on, and off again after its duration.
-  void apply_for_duration(const FaultEvent& fault, const std::function<void(bool)>& enable) {
+  void apply_for_duration(const FaultEvent& f, const std::function<void(bool)>& enable) {
     enable(true);
-    world_.after(fault.duration_us, [enable] { enable(false); });
+    world_.after(f.duration, [enable] { enable(false); });
   }
 
-  void begin_fault(const FaultEvent& fault) {
-    world_.log_event(std::string("trouble ") + trouble_name(fault.kind) + " " + std::to_string(fault.target) +
-                     "/" + std::to_string(fault.second_target) + " for " + std::to_string(fault.duration_us) +
-                     " us");
-    Node& n = node_of(fault);
-    const std::string pair_gateway = gateway_name(fault.second_target % scenario_.gateways);
-    Gateway& target_gateway = gateway_of(fault.target);
-    switch (fault.kind) {
+  void begin_fault(const FaultEvent& f) {
+    world_.log_event(std::string("trouble ") + trouble_name(f.kind) + " " + std::to_string(f.target) + "/" +
+                     std::to_string(f.peer) + " for " + std::to_string(f.duration) + " us");
+    Node& n = node_of(f);
+    const std::string peer_gateway = gateway_name(f.peer % scenario_.gateways);
+    Gateway& gateway = gateway_of(f.target);
+    switch (f.kind) {
       case Trouble::kNodeCrash:
       case Trouble::kNodePowerLoss:
-        crash(n, fault.duration_us, fault.kind == Trouble::kNodePowerLoss);
+        crash(n, f.duration, f.kind == Trouble::kNodePowerLoss);
         break;
       case Trouble::kNodeHang:
-        inject_node_fault(fault, nodes::FaultKind::kHang);
+        inject_node_fault(f, nodes::FaultKind::kHang);
         break;
       case Trouble::kNodeErrors:
-        inject_node_fault(fault, nodes::FaultKind::kErrors);
+        inject_node_fault(f, nodes::FaultKind::kErrors);
         break;
       case Trouble::kNodeNeverResponds:
-        inject_node_fault(fault, nodes::FaultKind::kLostAnswers);
+        inject_node_fault(f, nodes::FaultKind::kLostAnswers);
         break;
       case Trouble::kNodeSlow:
-        inject_node_fault(fault, nodes::FaultKind::kSlow, fault.value);
+        inject_node_fault(f, nodes::FaultKind::kSlow, f.value);
         break;
       case Trouble::kNodeGradualSlowdown:
         for (int step = 1; step <= 4; ++step) {
-          FaultEvent part = fault;
-          part.duration_us = fault.duration_us / 4;
-          const double value = 1 + (fault.value - 1) * step / 4;
-          world_.after(part.duration_us * (step - 1),
+          FaultEvent part = f;
+          part.duration = f.duration / 4;
+          const double value = 1 + (f.value - 1) * step / 4;
+          world_.after(part.duration * (step - 1),
                        [this, part, value] { inject_node_fault(part, nodes::FaultKind::kSlow, value); });
         }
         break;
       case Trouble::kNodeRejects:
-        inject_node_fault(fault, nodes::FaultKind::kRefuse);
+        inject_node_fault(f, nodes::FaultKind::kRefuse);
         break;
       case Trouble::kMemoryShortage:
-        inject_node_fault(fault, nodes::FaultKind::kMemoryShort, fault.value);
+        inject_node_fault(f, nodes::FaultKind::kMemoryShort, f.value);
         break;
       case Trouble::kLoadReportsStale:
-        inject_node_fault(fault, nodes::FaultKind::kStaleReports);
+        inject_node_fault(f, nodes::FaultKind::kStaleReports);
         break;
       case Trouble::kDrain:
       case Trouble::kDrainReportedLate:
-        drain(n, fault.duration_us, fault.kind == Trouble::kDrainReportedLate);
+        drain(n, f.duration, f.kind == Trouble::kDrainReportedLate);
         break;
       case Trouble::kRollingDeploy:
         for (size_t i = 0; i < nodes_.size(); ++i)
-          world_.after(fault.duration_us * static_cast<TimeUs>(i), [this, i, fault] {
-            drain(nodes_[i], std::min<TimeUs>(fault.duration_us, 400 * kMs), false);
-          });
+          world_.after(f.duration * static_cast<TimeUs>(i),
+                       [this, i, f] { drain(nodes_[i], std::min<TimeUs>(f.duration, 400 * kMs), false); });
         break;
       case Trouble::kZoneLoss:
         for (Node& node : nodes_)
-          if (node.zone == fault.target % scenario_.zones) crash(node, fault.duration_us, false);
+          if (node.zone == f.target % scenario_.zones) crash(node, f.duration, false);
         break;
       case Trouble::kAllNodesDown:
-        // They restart together or one after the other. In the latter case the first one gets the entire load
-        // while it is warming up.
+        // They restart together, or one by one: the first one then gets the entire load while warming up.
         for (size_t i = 0; i < nodes_.size(); ++i)
-          crash(nodes_[i],
-                fault.duration_us + (fault.second_target % 2 != 0 ? static_cast<TimeUs>(i) * 300 * kMs : 0),
-                false);
+          crash(nodes_[i], f.duration + (f.peer % 2 != 0 ? static_cast<TimeUs>(i) * 300 * kMs : 0), false);
         break;
       case Trouble::kLinkDelay:
-        apply_for_duration(fault, [this, name = n.name, delay_us = static_cast<TimeUs>(fault.value * kMs)](
-                                      bool on) { network_.set_added_delay(name, on ? delay_us : 0); });
+        apply_for_duration(f, [this, name = n.name, delay_us = static_cast<TimeUs>(f.value * kMs)](bool on) {
+          network_.set_added_delay(name, on ? delay_us : 0);
+        });
         break;
       case Trouble::kLinkLost:
       case Trouble::kLinkStall:
-        network_.interrupt(pair_gateway, n.name, fault.duration_us, fault.kind == Trouble::kLinkStall);
+        network_.interrupt(peer_gateway, n.name, f.duration, f.kind == Trouble::kLinkStall);
         break;
       case Trouble::kConnectionReset:
-        network_.reset(pair_gateway, n.name);
+        network_.reset(peer_gateway, n.name);
         break;
       case Trouble::kConnectionRefused:
-        apply_for_duration(fault, [this, name = n.name](bool on) { network_.refuse_connections(name, on); });
+        apply_for_duration(f, [this, name = n.name](bool on) { network_.refuse_connections(name, on); });
         network_.reset("", n.name);
         break;
       case Trouble::kConnectTimeout:
-        apply_for_duration(fault,
-                           [this, name = n.name](bool on) { network_.blackhole_connections(name, on); });
+        apply_for_duration(f, [this, name = n.name](bool on) { network_.blackhole(name, on); });
         network_.reset("", n.name);
         break;
       case Trouble::kResponseLost:
-        network_.lose_responses(n.name, static_cast<int>(fault.value));
+        network_.lose_responses(n.name, static_cast<int>(f.value));
         break;
       case Trouble::kGatewayCrash:
-        crash(target_gateway, fault.duration_us);
+        crash(gateway, f.duration);
         break;
       case Trouble::kGatewayStaleStart:
-        if (!target_gateway.core) break;
-        target_gateway.startup_list = list_for(target_gateway);
-        target_gateway.discovery_down_until =
-            world_.now() + fault.duration_us + static_cast<TimeUs>(fault.value * kMs);
-        crash(target_gateway, fault.duration_us);
+        if (!gateway.core) break;
+        gateway.startup_list = list_for(gateway);
+        gateway.discovery_down_until = world_.now() + f.duration + static_cast<TimeUs>(f.value * kMs);
+        crash(gateway, f.duration);
         break;
       case Trouble::kGatewayRollingRestart:
         for (size_t i = 0; i < gateways_.size(); ++i)
-          world_.after(fault.duration_us * static_cast<TimeUs>(i),
-                       [this, i] { crash(gateways_[i], kRestartUs); });
+          world_.after(f.duration * static_cast<TimeUs>(i), [this, i] { crash(gateways_[i], kRestartUs); });
         break;
       case Trouble::kGatewayStall:
-        if (!target_gateway.core) break;
-        observer_.gateway_stalled(target_gateway.name, world_.now() + fault.duration_us);
-        target_gateway.actor->stall(fault.duration_us);
+        if (!gateway.core) break;
+        observer_.gateway_stalled(gateway.name, world_.now() + f.duration);
+        gateway.actor->stall(f.duration);
         break;
       case Trouble::kClockJump:
-        if (!target_gateway.core) break;
-        observer_.clock_jumped(target_gateway.name, fault.duration_us);
-        target_gateway.actor->advance_clock(fault.duration_us);
+        if (!gateway.core) break;
+        observer_.clock_jumped(gateway.name, f.duration);
+        gateway.actor->advance_clock(f.duration);
         break;
       case Trouble::kDiscoveryOutage:
-        target_gateway.discovery_down_until = world_.now() + fault.duration_us;
+        gateway.discovery_down_until = world_.now() + f.duration;
         break;
-      case Trouble::kNodeListIncomplete:
+      case Trouble::kNodeListPartial:
       case Trouble::kNodeListDuplicates:
-        (fault.kind == Trouble::kNodeListIncomplete ? target_gateway.incomplete_list_until
-                                                    : target_gateway.duplicate_list_until) =
-            world_.now() + fault.duration_us;
-        if (target_gateway.core) schedule_list(target_gateway);
-        world_.after(fault.duration_us, [this, &target_gateway] {
-          if (target_gateway.core) schedule_list(target_gateway);
+        (f.kind == Trouble::kNodeListPartial ? gateway.partial_list_until : gateway.duplicate_list_until) =
+            world_.now() + f.duration;
+        if (gateway.core) schedule_list(gateway);
+        world_.after(f.duration, [this, &gateway] {
+          if (gateway.core) schedule_list(gateway);
         });
         break;
       case Trouble::kHotKey:
         break;  // scheduled at the start of the run
       case Trouble::kEarlyCancels:
-        early_cancels_until_ = world_.now() + fault.duration_us;
+        early_cancels_until_ = world_.now() + f.duration;
         break;
       case Trouble::kClientConnectionReset:
-        network_.reset("desk" + std::to_string(fault.target % scenario_.client_processes), "");
+        network_.reset("desk" + std::to_string(f.target % scenario_.client_processes), "");
         break;
     }
   }
@@ -833,7 +825,7 @@
     for (size_t k = i; k < scenario.troubles.size(); ++k) {
       const FaultEvent& a = scenario.troubles[i];
       const FaultEvent& b = scenario.troubles[k];
-      if (i != k && (a.at > b.at + b.duration_us || b.at > a.at + a.duration_us)) continue;
+      if (i != k && (a.at > b.at + b.duration || b.at > a.at + a.duration)) continue;
       const int low = std::min(static_cast<int>(a.kind), static_cast<int>(b.kind));
       const int high = std::max(static_cast<int>(a.kind), static_cast<int>(b.kind));
       if (i != k || low != high) ++(*pairs)[low][high];
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -137,9 +137,9 @@
   fault.at = random.between(500 * kMs, s.duration_us * 3 / 4);
   const TimeUs in_fault_burst = random.between(0, 500 * kMs);
   if (random.chance(0.7) && traits.fault_burst_at > 0) fault.at = traits.fault_burst_at + in_fault_burst;
-  fault.duration_us = random.between(50 * kMs, 4 * kSecond);
+  fault.duration = random.between(50 * kMs, 4 * kSecond);
   fault.target = static_cast<int>(random.below(64));
-  fault.second_target = static_cast<int>(random.below(64));
+  fault.peer = static_cast<int>(random.below(64));
   switch (fault.kind) {
     case Trouble::kNodeSlow:
     case Trouble::kNodeGradualSlowdown:
@@ -165,11 +165,11 @@
       break;
     case Trouble::kGatewayStall:
     case Trouble::kClockJump:
-      fault.duration_us = random.between(5 * kMs, 1500 * kMs);
+      fault.duration = random.between(5 * kMs, 1500 * kMs);
       break;
     case Trouble::kRollingDeploy:
     case Trouble::kGatewayRollingRestart:
-      fault.duration_us = random.between(200 * kMs, 800 * kMs);  // per node or gateway
+      fault.duration = random.between(200 * kMs, 800 * kMs);  // per node or gateway
       break;
     default:
       break;
@@ -208,8 +208,8 @@
     FaultEvent& first = s.troubles.front();
     first.kind = Trouble::kAllNodesDown;
     first.at = traits.fault_burst_at;
-    first.duration_us = 300 * kMs + first.duration_us / 8;
-    first.second_target |= 1;
+    first.duration = 300 * kMs + first.duration / 8;
+    first.peer |= 1;
   }
   return s;
 }
@@ -270,9 +270,9 @@
     e.number = static_cast<uint64_t>(fault.integer("number", 0, INT64_MAX, static_cast<int64_t>(next++)));
     e.kind = fault.one_of<Trouble>("kind", kinds, std::nullopt);
     e.at = fault.duration("at", 0);
-    e.duration_us = fault.duration("for", kSecond);
+    e.duration = fault.duration("for", kSecond);
     e.target = static_cast<int>(fault.integer("target", 0, 100'000, 0));
-    e.second_target = static_cast<int>(fault.integer("second", 0, 100'000, 0));
+    e.peer = static_cast<int>(fault.integer("second", 0, 100'000, 0));
     e.value = fault.number("value", 0, 1e9, 0);
     fault.reject_unknown_keys();
     s.troubles.push_back(e);
@@ -291,9 +291,8 @@
   for (const FaultEvent& fault : s.troubles) {
     out += "\n[[trouble]]\nnumber = " + std::to_string(fault.number) + "\nkind = \"" +
            trouble_name(fault.kind) + "\"\nat = " + format_time(fault.at) +
-           "\nfor = " + format_time(fault.duration_us) + "\ntarget = " + std::to_string(fault.target) +
-           "\nsecond = " + std::to_string(fault.second_target) + "\nvalue = " + format_number(fault.value) +
-           "\n";
+           "\nfor = " + format_time(fault.duration) + "\ntarget = " + std::to_string(fault.target) +
+           "\nsecond = " + std::to_string(fault.peer) + "\nvalue = " + format_number(fault.value) + "\n";
   }
   for (const RequestEvent& r : s.requests) {
     out += "\n[[request]]\nnumber = " + std::to_string(r.number) + "\nat = " + format_time(r.at) +
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -15,33 +15,33 @@
 namespace sablelink::sim {
 
 enum class Trouble {
-  kNodeCrash,            // the process ends without a drain and restarts, warming up, after the duration
-  kNodePowerLoss,        // as kNodeCrash, but its connections stay open without traffic instead of breaking
-  kNodeHang,             // accepts requests and responds to none while the fault lasts
-  kNodeErrors,           // responds to every request with an error, at once
-  kNodeNeverResponds,    // executes requests and never sends the response
-  kNodeSlow,             // execution takes value times as long
-  kNodeGradualSlowdown,  // as kNodeSlow, in four steps from 1 up to value
-  kNodeRejects,          // rejects every request
-  kLoadReportsStale,     // load reports are no longer updated
-  kDrain,                // drains, ends after the duration and restarts, warming up
-  kDrainReportedLate,    // as kDrain, but the node lists show it only when the node ends
-  kRollingDeploy,        // drains and restarts all nodes one after the other, one per duration
-  kZoneLoss,             // all nodes of a zone crash together and restart, warming up
-  kAllNodesDown,       // all nodes crash together and restart, warming up; one by one if second_target is odd
-  kLinkDelay,          // messages to and from a node take value ms longer
-  kLinkLost,           // no messages between a gateway and a node; at the end their connections break
-  kLinkStall,          // as kLinkLost, but at the end the buffered messages are delivered
-  kConnectionReset,    // a gateway's connections to a node break
-  kConnectionRefused,  // a node's port refuses connections
-  kConnectTimeout,     // connection attempts to a node time out
-  kResponseLost,       // the next value responses of a node are lost and their connections break
-  kGatewayCrash,       // a gateway's process ends and restarts after the duration
+  kNodeCrash,              // the process ends without a drain and restarts, warming up, after the duration
+  kNodePowerLoss,          // as kNodeCrash, but its connections stay open without traffic instead of breaking
+  kNodeHang,               // accepts requests and responds to none while the fault lasts
+  kNodeErrors,             // responds to every request with an error, at once
+  kNodeNeverResponds,      // executes requests and never sends the response
+  kNodeSlow,               // execution takes value times as long
+  kNodeGradualSlowdown,    // as kNodeSlow, in four steps from 1 up to value
+  kNodeRejects,            // rejects every request
+  kLoadReportsStale,       // load reports are no longer updated
+  kDrain,                  // drains, ends after the duration and restarts, warming up
+  kDrainReportedLate,      // as kDrain, but the node lists show it only when the node ends
+  kRollingDeploy,          // drains and restarts all nodes one after the other, one per duration
+  kZoneLoss,               // all nodes of a zone crash together and restart, warming up
+  kAllNodesDown,           // all nodes crash together and restart, warming up; one by one if peer is odd
+  kLinkDelay,              // messages to and from a node take value ms longer
+  kLinkLost,               // no messages between a gateway and a node; at the end their connections break
+  kLinkStall,              // as kLinkLost, but at the end the buffered messages are delivered
+  kConnectionReset,        // a gateway's connections to a node break
+  kConnectionRefused,      // a node's port refuses connections
+  kConnectTimeout,         // connection attempts to a node time out
+  kResponseLost,           // the next value responses of a node are lost and their connections break
+  kGatewayCrash,           // a gateway's process ends and restarts after the duration
   kGatewayRollingRestart,  // restarts all gateways one after the other, one per duration
   kGatewayStall,           // a gateway executes nothing for the duration
   kClockJump,              // a gateway's clock jumps forward by the duration
   kDiscoveryOutage,        // a gateway's node list isn't updated
-  kNodeListIncomplete,     // some nodes are missing from a gateway's node list
+  kNodeListPartial,        // some nodes are missing from a gateway's node list
   kNodeListDuplicates,     // some nodes are listed twice in a gateway's node list
   kHotKey,                 // a client process sends value additional requests, all with one key
   kEarlyCancels,           // clients cancel early and retry at once
@@ -55,10 +55,10 @@
 struct FaultEvent {
   uint64_t number = 0;
   Trouble kind = Trouble::kNodeCrash;
-  TimeUs at = 0, duration_us = 0;  // at: from the start of the run
-  int target = 0;                  // index of the node, gateway, zone or client process, modulo their number
-  int second_target = 0;           // index of the gateway, for faults between a gateway and a node
-  double value = 0;                // its meaning depends on the kind, see there
+  TimeUs at = 0, duration = 0;  // at: from the start of the run
+  int target = 0;               // index of the node, gateway, zone or client process, modulo their number
+  int peer = 0;                 // index of the gateway, for faults between a gateway and a node
+  double value = 0;             // its meaning depends on the kind, see there
 };
 
 // One client's request, including its retries by the client.
