--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -68,13 +68,13 @@
 }
 
 constexpr const char* kRuleNames[kRules + 1] = {"",
-                                                "one answer for each request, in time",
-                                                "no effect twice, one attempt at a time",
-                                                "drains kept",
-                                                "cold nodes not pushed over",
-                                                "order of keys kept",
-                                                "placement kept",
-                                                "further attempts within budget"};
+                                                "one response per request, in time",
+                                                "no repeated effect or parallel attempt",
+                                                "no attempts at draining nodes",
+                                                "nodes in slow start not overloaded",
+                                                "order of requests with the same key",
+                                                "placement restrictions",
+                                                "retries within budget"};
 
 }  // namespace
 
@@ -169,7 +169,7 @@
     out += line;
   }
   std::snprintf(line, sizeof(line),
-                "attempts %llu, further ones %llu; service %.3f (worth in time over worth asked for)\n\n",
+                "attempts %llu, retries %llu; service %.3f (achieved over requested priority weight)\n\n",
                 static_cast<unsigned long long>(report.attempts),
                 static_cast<unsigned long long>(report.retries), report.service());
   out += line;
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -385,8 +385,8 @@
     }
     // The remaining coroutines would access freed objects.
     if (!all_ended)
-      throw std::logic_error(g.name + " died and " + std::to_string(g.core->engine_client().busy()) +
-                             " of its attempts never unwind");
+      throw std::logic_error(g.name + " was killed and " + std::to_string(g.core->engine_client().busy()) +
+                             " of its attempts haven't ended");
     g.core.reset();
     g.parts.reset();
     g.channels.reset();
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -229,7 +229,7 @@
   s.duration_us = world.duration("length", s.duration_us);
   s.health_checks = world.boolean("probes", s.health_checks);
   if (s.duration_us < 3 * kSecond || s.duration_us > kMaxDuration)
-    world.fail("length", "is not from 3s to 1h");
+    world.fail("length", "must be from 3s to 1h");
   // The number of requests to generate from the seed, besides those listed in the file.
   const auto generated = static_cast<uint64_t>(world.integer("requests", 0, 10'000'000, 0));
   world.reject_unknown_keys();
@@ -244,7 +244,7 @@
     e.gateway = static_cast<int>(r.integer("gateway", 0, 1000, 0));
     e.cls = r.string("class", "lookup");
     if (std::find(kClasses.begin(), kClasses.end(), e.cls) == kClasses.end())
-      r.fail("class", "'" + e.cls + "' is no class of the simulation");
+      r.fail("class", "'" + e.cls + "' is not a class of the simulation");
     e.key = r.string("key", "");
     e.work_us = static_cast<double>(r.duration("work", 10 * kMs));
     e.threads = r.number("threads", 0.1, 1000, 1);
