--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -102,15 +102,15 @@
   state.ended = true;
   const ClientRecord& c = state.record;
   count_check(1, true);
-  if (c.answers > 1) add_finding(1, c.tag + " was answered " + std::to_string(c.answers) + " times");
+  if (c.answers > 1) add_finding(1, c.tag + " got " + std::to_string(c.answers) + " responses");
   if (!c.fault.empty()) add_finding(1, c.tag + " got a wrong answer from " + c.gateway + ": " + c.fault);
   if (c.end == ClientRecord::End::kNoAnswer && !was_down_between(c.gateway, c.asked_at, c.due_at))
-    add_finding(1,
-                c.tag + " got no answer from " + c.gateway + " in " + format_seconds(c.due_at - c.asked_at));
+    add_finding(
+        1, c.tag + " got no response from " + c.gateway + " in " + format_seconds(c.due_at - c.asked_at));
   const TimeUs latest_end = c.due_at + settings_.rules.response_slack_us + settings_.slack_us;
   if (c.answers > 0 && !c.may_end_late && c.ended_at > latest_end)
     add_finding(1,
-                c.tag + " was answered " + format_seconds(c.ended_at - c.due_at) + " after its time was up");
+                c.tag + " got its response " + format_seconds(c.ended_at - c.due_at) + " after its deadline");
   if (c.end == ClientRecord::End::kRefused)
     for (const Request* request : state.requests) check_rejection(*request);
 }
@@ -139,7 +139,7 @@
   if (const auto it = warming_nodes_.find(node);
       it != warming_nodes_.end() && !it->second.gateways_responsible())
     return;
-  add_finding(4, node + " fell over, pushed while it was cold");
+  add_finding(4, node + " collapsed under load during slow start");
 }
 
 void Rules::gateway_killed(TimeUs at, const std::string& gateway) { downtimes_[gateway].emplace_back(at, 0); }
@@ -218,8 +218,8 @@
       continue;
     }
     if (later && a.ended_at > b->started_at + settings_.slack_us)
-      add_finding(2, a.request + " had attempt " + std::to_string(b->number) + " out at " + b->node +
-                         " while attempt " + std::to_string(a.number) + " was out at " + a.node);
+      add_finding(2, a.request + " had attempt " + std::to_string(b->number) + " in flight at " + b->node +
+                         " while attempt " + std::to_string(a.number) + " was in flight at " + a.node);
   }
 }
 
@@ -234,12 +234,13 @@
   if (!a.client) return;
   const ClassSettings& c = class_of(*a.client);
   if (c.idempotency == Idempotency::kNotIdempotent)
-    add_finding(2, a.request + ", unsafe, was sent to " + a.node + " after it had run at " + before.node);
+    add_finding(2, a.request + ", not idempotent, was sent to " + a.node + " after it was executed at " +
+                       before.node);
   if (c.idempotency == Idempotency::kIdempotentWithKey &&
       (!same_dedup_scope(c, before, a) ||
        a.started_at > before.started_at + c.dedup_window_us + settings_.slack_us))
-    add_finding(
-        2, a.request + ", keyed, was sent to " + a.node + " outside the group or time of " + before.node);
+    add_finding(2, a.request + ", keyed, was sent to " + a.node +
+                       " outside the deduplication scope or window of " + before.node);
 }
 
 // Rule 2, third part: a rejection guarantees that the client may retry.
@@ -253,7 +254,7 @@
   count_check(2, !safe_to_retry);
   if (!safe_to_retry && std::any_of(request.attempts.begin(), request.attempts.end(),
                                     [](const auto& a) { return a->executed; }))
-    add_finding(2, first.request + " was refused though it had run");
+    add_finding(2, first.request + " was rejected although it was executed");
 }
 
 void Rules::attempt_ended(TimeUs at, const std::string& name, int number, AttemptEnd end) {
@@ -274,7 +275,7 @@
                          .append(key)
                          .append(" was sent while ")
                          .append(name)
-                         .append(" was out"));
+                         .append(" was in flight"));
 }
 
 void Rules::attempt_executed(const std::string& name, int number) {
@@ -317,7 +318,7 @@
   if (it == unavailable_since_.end()) return;
   if (a.started_at > it->second + settings_.rules.drain_grace_us + settings_.slack_us)
     add_finding(3, a.request + " was sent to " + a.node + " " + format_seconds(a.started_at - it->second) +
-                       " after " + a.gateway + " was told that it drains");
+                       " after " + a.gateway + " was notified that the node is draining or removed");
 }
 
 // Rule 4: a node that is warming up isn't overloaded. Computed from the attempts sent, not from the node's
@@ -347,7 +348,8 @@
     warming.reported = true;
     add_finding(4, a.node + " was sent " + format_seconds(static_cast<TimeUs>(warming.work_us)) +
                        " of work within " + format_seconds(settings_.rules.collapse_window_us) +
-                       ", cold: it bears " + format_seconds(static_cast<TimeUs>(work_limit_us)));
+                       " during slow start; the limit is " +
+                       format_seconds(static_cast<TimeUs>(work_limit_us)));
   }
 }
 
@@ -359,18 +361,19 @@
     if (a->request == b.request || a->started_at >= b.started_at) continue;
     count_check(5, !a->ended || b.started_at < a->ended_at + settings_.rules.ordering_gap_us);
     if (settings_.slack_us == 0 && !a->ended)
-      add_finding(5, b.request + " of key " + key + " was sent while " + a->request + " was out");
+      add_finding(5, b.request + " of key " + key + " was sent while " + a->request + " was in flight");
     if (a->ended && a->end == AttemptEnd::kMayStillRun && b.started_at >= a->ended_at &&
         b.started_at + settings_.slack_us + clock_advance_between(b.gateway, a->ended_at, b.started_at) <
             a->ended_at + settings_.rules.ordering_gap_us)
       add_finding(5, b.request + " of key " + key + " was sent " +
                          format_seconds(b.started_at - a->ended_at) + " after " + a->request +
-                         ", which may still have run");
+                         ", which might still be running");
     const ClientRecord& first = b.client->record;
     const ClientRecord& second = a->client->record;
     if (first.asked_at + settings_.slack_us < second.asked_at &&
         (!b.client->ended || first.ended_at > a->started_at + settings_.slack_us))
-      add_finding(5, a->request + " of key " + key + " was sent before " + b.request + ", which came first");
+      add_finding(5,
+                  a->request + " of key " + key + " was sent before " + b.request + ", which arrived first");
   }
 }
 
@@ -382,7 +385,7 @@
   count_check(6, true);
   if (!may_run_on(c, *a.facts))
     add_finding(6, a.request + " of class " + settings_.class_names[a.client->record.cls] + " was sent to " +
-                       a.node + ", where it may not run");
+                       a.node + ", which its class does not permit");
 }
 
 // Rule 7: the retries of a gateway in any time window stay within its budget. `unseen` is the number of
@@ -414,10 +417,10 @@
   count_check(7, retries_made > allowed / 2);
   if (retries_made > allowed) {
     char text[240];
-    std::snprintf(
-        text, sizeof(text), "%s made %d further attempts within %s with %lld requests taken: %.1f allowed",
-        incarnation.c_str(), retries_made, format_seconds(settings_.rules.retry_budget_window_us).c_str(),
-        static_cast<long long>(count), allowed);
+    std::snprintf(text, sizeof(text), "%s made %d retries within %s with %lld requests: %.1f allowed",
+                  incarnation.c_str(), retries_made,
+                  format_seconds(settings_.rules.retry_budget_window_us).c_str(),
+                  static_cast<long long>(count), allowed);
     add_finding(7, text);
   }
 }
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -49,7 +49,7 @@
 Observer::~Observer() = default;
 
 void Observer::client_request_started(const ClientRecord& client, const std::string& statement) {
-  log_event(client.tag + " asks " + client.gateway + ": " + statement);
+  log_event(client.tag + " requests from " + client.gateway + ": " + statement);
   client_requests_[client.tag] = client;
 }
 
@@ -59,7 +59,8 @@
   const std::string request = request_id(call);
   if (request.empty()) {  // from a client, or a health check
     if (short_method(call.method) == "GetSchema" && started_nodes_.contains(call.address))
-      violation(call.client + " asks " + call.address + " for a plan beside the decision module");
+      violation(call.client + " sends a planning call to " + call.address +
+                " that the decision module hasn't placed");
     return;
   }
   const int number = attempt_number(call);
@@ -74,7 +75,7 @@
   const auto sent = client_requests_.find(tag);
   const double work = sent != client_requests_.end() ? sent->second.asked_work_us : 0;
   if (tag.starts_with(flightsql::kPlanTag) && sent == client_requests_.end())
-    violation(call.client + " sends a plan that it hasn't asked for: " + tag);
+    violation(call.client + " sends a planning call that it hasn't logged: " + tag);
   log_event(call.client + " sends " + request + " attempt " + std::to_string(number) + " (" + tag + ") to " +
             node);
   rules_.attempt_started(world_.now(), request, number, node, tag, work);
@@ -82,7 +83,7 @@
 
 void Observer::planning_call_started(const std::string& gateway, const std::string& tag) {
   const TimeUs now = world_.now();
-  log_event(gateway + " plans " + tag);
+  log_event(gateway + " starts planning call " + tag);
   ++planning_call_count_;
   PlanningCalls& calls = planning_calls_[gateway];
   const auto within = [&](const std::deque<TimeUs>& times) {
@@ -120,7 +121,7 @@
   accepted.deadline_at = call.deadline_at;
   accepted.gateway = call.server;
   accepted.gateway_incarnation = incarnations_[call.server];
-  log_event(call.server + " takes " + tag);
+  log_event(call.server + " receives " + tag);
   ClientRecord c = sent != client_requests_.end() ? sent->second : ended->second;
   c.asked_at = world_.now();  // counted from its arrival, as the gateway does
   rules_.request_started(c);
@@ -134,7 +135,7 @@
   const auto it = accepted_.find(client_tag(call));
   if (it == accepted_.end()) return;
   it->second.response_sent_at = world_.now();
-  log_event(call.server + " answers " + it->first + " " + std::string(rpc::code_name(status.code)) +
+  log_event(call.server + " responds to " + it->first + " " + std::string(rpc::code_name(status.code)) +
             (status.message.empty() ? "" : ": " + status.message));
 }
 
@@ -150,7 +151,7 @@
   if (request.deadline_at > 0 && world_.now() > request.deadline_at + kEndTolerance &&
       !gateway_interrupted(request, world_.now()))
     violation(request.gateway + " kept the call of " + tag + " " +
-              std::to_string(world_.now() - request.deadline_at) + " us longer than its client's time");
+              std::to_string(world_.now() - request.deadline_at) + " us beyond its deadline");
   it->second.ended = true;
   const auto at_client = ended_at_client_.find(tag);
   if (at_client == ended_at_client_.end()) return;
@@ -161,7 +162,7 @@
 
 void Observer::on_duplicate_response(const CallInfo& call) {
   if (!request_id(call).empty()) return;
-  findings_.push_back({1, client_tag(call) + " was answered twice by " + call.server});
+  findings_.push_back({1, client_tag(call) + " got two responses from " + call.server});
   log_event("BROKEN rule 1: " + findings_.back().what);
 }
 
@@ -179,7 +180,7 @@
   }
   // A call for a ticket executes nothing, however it ended.
   const bool may_still_run = is_attempt(call) && !from_server;
-  log_event(call.client + " is through with " + request + " attempt " + std::to_string(key.second) + ": " +
+  log_event(call.client + " ends the call of " + request + " attempt " + std::to_string(key.second) + ": " +
             std::string(rpc::code_name(result.status.code)));
   rules_.attempt_ended(world_.now(), request, key.second,
                        may_still_run ? AttemptEnd::kMayStillRun : AttemptEnd::kResponded);
@@ -196,38 +197,38 @@
       rules_.node_started(world_.now(), event.node, !started_nodes_.insert(event.node).second);
       break;
     case NodeEvent::Kind::kArrived:
-      log_event(event.node + " has " + event.request + " attempt " + std::to_string(event.attempt));
+      log_event(event.node + " receives " + event.request + " attempt " + std::to_string(event.attempt));
       break;
     case NodeEvent::Kind::kEnded:
       log_event(event.node + " ends " + event.request + " attempt " + std::to_string(event.attempt) +
                 (event.done  ? ", done"
-                 : event.ran ? ", begun"
-                             : ", not begun"));
+                 : event.ran ? ", started"
+                             : ", not started"));
       if (event.ran) rules_.attempt_executed(event.request, event.attempt);
       break;
     case NodeEvent::Kind::kFell:
-      log_event(event.node + " falls over");
+      log_event(event.node + " collapses");
       rules_.node_collapsed(world_.now(), event.node);
       break;
   }
 }
 
-void Observer::node_killed(const std::string& node) { log_event(node + " dies"); }
+void Observer::node_killed(const std::string& node) { log_event(node + " stops"); }
 
 // ---- Actions of the driver
 
 void Observer::node_reported_unavailable(const std::string& gateway, const std::string& node) {
-  log_event(gateway + " is told that " + node + " drains or is gone");
+  log_event(gateway + " is notified that " + node + " is draining or removed");
   rules_.node_reported_unavailable(world_.now(), gateway, node);
 }
 
 void Observer::node_reported_ready(const std::string& gateway, const std::string& node) {
-  log_event(gateway + " is told that " + node + " is ready");
+  log_event(gateway + " is notified that " + node + " is ready");
   rules_.node_reported_ready(gateway, node);
 }
 
 void Observer::gateway_killed(const std::string& gateway) {
-  log_event(gateway + " dies");
+  log_event(gateway + " stops");
   ++incarnations_[gateway];
   planning_calls_.erase(gateway);
   rules_.gateway_killed(world_.now(), gateway);
@@ -239,12 +240,12 @@
 }
 
 void Observer::gateway_stalled(const std::string& gateway, TimeUs until) {
-  log_event(gateway + " stands still");
+  log_event(gateway + " stalls");
   stalls_[gateway].emplace_back(world_.now(), until);
 }
 
 void Observer::clock_jumped(const std::string& gateway, TimeUs by) {
-  log_event(gateway + "'s clock goes " + std::to_string(by) + " us forward");
+  log_event(gateway + "'s clock jumps " + std::to_string(by) + " us forward");
   clock_jumped_.insert(gateway);  // its time windows no longer match the world's
   rules_.clock_jumped(world_.now(), gateway, by);
 }
@@ -289,8 +290,8 @@
   ++ends_[client.end];
   log_event(client.tag + " ends: " + std::string(rpc::code_name(result.status.code)) +
             (result.from_gateway ? ", from the gateway"
-             : cancelled         ? ", it left"
-                                 : ", no answer"));
+             : cancelled         ? ", cancelled by the client"
+                                 : ", no response"));
   client_requests_.erase(client.tag);
   if (it != accepted_.end() && !it->second.ended) {
     ended_at_client_[client.tag] = std::move(client);
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -551,8 +551,8 @@
       const bool served = result.from_gateway && result.verdict == dispatch::RequestStatus::kServed;
       c.fault = check->fault(served);
       if (c.fault.empty() && result.has_schema && result.promised && *result.promised != result.schema)
-        c.fault = "its columns aren't those that its ticket promised";
-      if (c.fault.empty() && result.schema_changed) c.fault = "its columns are said to have changed";
+        c.fault = "its schema differs from that of its ticket";
+      if (c.fault.empty() && result.schema_changed) c.fault = "its schema is reported as changed";
       observer_.client_request_ended(c, result, *cancelled);
       const bool not_executed = result.from_gateway && result.verdict == dispatch::RequestStatus::kRejected;
       // A client retries if nothing was executed (the request was rejected) or if its class is idempotent; at
@@ -629,7 +629,7 @@
   }
 
   void begin_fault(const FaultEvent& f) {
-    world_.log_event(std::string("trouble ") + trouble_name(f.kind) + " " + std::to_string(f.target) + "/" +
+    world_.log_event(std::string("fault ") + trouble_name(f.kind) + " " + std::to_string(f.target) + "/" +
                      std::to_string(f.peer) + " for " + std::to_string(f.duration) + " us");
     Node& n = node_of(f);
     const std::string peer_gateway = gateway_name(f.peer % scenario_.gateways);
@@ -767,7 +767,7 @@
       const size_t max_streamed_bytes =
           c.tracked_requests() * (config_.dispatcher.stream_window_bytes + kMaxMessageBytes);
       if (c.buffered_bytes() > config_.dispatcher.total_buffer_bytes + kMaxMessageBytes + max_streamed_bytes)
-        observer_.violation(g.name + " holds " + std::to_string(c.buffered_bytes()) + " bytes");
+        observer_.violation(g.name + " buffers " + std::to_string(c.buffered_bytes()) + " bytes");
       // Timers can't be cancelled, so each request may leave a few without effect.
       const size_t max_timers = 200 + 8 * (scenario_.requests.size() + 100);
       if (g.actor->timers() > max_timers)
@@ -786,10 +786,11 @@
       if (!g.core) continue;
       const dispatch::RequestDispatcher& c = g.core->dispatcher();
       expect_zero(g.name, "requests", c.tracked_requests());
-      expect_zero(g.name, "requests without an answer", c.open_requests());
-      expect_zero(g.name, "bytes held", c.buffered_bytes());
+      expect_zero(g.name, "requests without a response", c.open_requests());
+      expect_zero(g.name, "buffered bytes", c.buffered_bytes());
       expect_zero(g.name, "planning calls", g.core->server().columns().planning().calls_in_flight());
-      expect_zero(g.name, "clients that wait for plans", g.core->server().columns().planning().waiters());
+      expect_zero(g.name, "clients waiting for planning calls",
+                  g.core->server().columns().planning().waiters());
       expect_zero(g.name, "calls of clients", network_.running(g.listener));
       const size_t busy = g.core->engine_client().busy();
       if (busy > c.outstanding_health_checks()) expect_zero(g.name, "attempts", busy);
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -356,29 +356,31 @@
 INSTANTIATE_TEST_SUITE_P(
     Named, SpecificFaults,
     testing::Values(
-        FaultCase{
-            "NodeWarmingUpDuringLoadShift",
-            kWarmingDuringLoadShift,
-            {"told that n0 drains", "n0 dies", "n0 starts", "told that n0 is ready", "to n0", "n0 has"}},
-        FaultCase{
-            "DrainDuringRetry", kDrainDuringRetry, {"trouble drain 0", "told that n0 drains", "n1 has"}},
+        FaultCase{"NodeWarmingUpDuringLoadShift",
+                  kWarmingDuringLoadShift,
+                  {"notified that n0 is draining", "n0 stops", "n0 starts", "notified that n0 is ready",
+                   "to n0", "n0 receives"}},
+        FaultCase{"DrainDuringRetry",
+                  kDrainDuringRetry,
+                  {"fault drain 0", "notified that n0 is draining", "n1 receives"}},
         FaultCase{"LostResponseThenRetryAtAnotherGateway",
                   kLostThenRetried,
-                  {"q1000000-0 asks g0", "q1000000-0 ends: CANCELLED", "q1000000-1 asks g1",
+                  {"q1000000-0 requests from g0", "q1000000-0 ends: CANCELLED", "q1000000-1 requests from g1",
                    "q1000000-1 ends: OK"}},
-        FaultCase{
-            "CrashDuringOrderedRequestDelaysItsKey",
-            kCrashDuringOrdered,
-            {"n0 has", "q2-0 asks", "n0 dies", "n0 ends", "q1-0 ends: UNKNOWN", "q2-0 ends: UNAVAILABLE"}},
-        FaultCase{"AllNodesRestart", kAllNodesRestart, {"n7 dies", "n0 starts", "to n0"}},
+        FaultCase{"CrashDuringOrderedRequestDelaysItsKey",
+                  kCrashDuringOrdered,
+                  {"n0 receives", "q2-0 requests", "n0 stops", "n0 ends", "q1-0 ends: UNKNOWN",
+                   "q2-0 ends: UNAVAILABLE"}},
+        FaultCase{"AllNodesRestart", kAllNodesRestart, {"n7 stops", "n0 starts", "to n0"}},
         FaultCase{"GatewayRestartsWhileNodesWarmUp",
                   kGatewayRestartDuringWarmUp,
-                  {"n0 starts", "g0 dies", "g0 starts", "g0 takes"}},
-        FaultCase{"QueriesQueueForMemory", kMemoryExhausted, {"n0 has", "q1-0 ends: OK", "q2-0 ends: OK"}},
+                  {"n0 starts", "g0 stops", "g0 starts", "g0 receives"}},
+        FaultCase{
+            "QueriesQueueForMemory", kMemoryExhausted, {"n0 receives", "q1-0 ends: OK", "q2-0 ends: OK"}},
         FaultCase{"GatewayStartsWithStaleNodeList",
                   kStaleNodeList,
-                  {"g0 dies", "n1 dies", "n1 starts", "g0 starts", "g0 is told that n1 is ready"}},
-        FaultCase{"NodeListWithDuplicates", kDuplicatesInNodeList, {"trouble list_doubles", "g0 sends"}}),
+                  {"g0 stops", "n1 stops", "n1 starts", "g0 starts", "g0 is notified that n1 is ready"}},
+        FaultCase{"NodeListWithDuplicates", kDuplicatesInNodeList, {"fault list_doubles", "g0 sends"}}),
     [](const auto& fault_case) { return std::string(fault_case.param.name); });
 
 // If a process crashes, its kernel closes the connections. If a machine loses its power, nothing is sent, and
