--- a/src/flightsql/catalog.h
+++ b/src/flightsql/catalog.h
@@ -1,5 +1,5 @@
-// The tables that Flight SQL's metadata commands answer with. Source: the public FlightSql.proto, which gives
-// each command's schema. Pure.
+// Builds the result tables of Flight SQL's metadata commands. The public FlightSql.proto defines the schema
+// of each. Pure functions.
 #pragma once
 
 #include <string>
@@ -21,22 +21,23 @@
 ResultTable catalogs(const std::vector<config::Table>& tables);
 ResultTable db_schemas(const std::vector<config::Table>& tables,
                        const arrow::flight::protocol::sql::CommandGetDbSchemas& command);
-// schemas: those of the tables that the command asks for, in their order, as encapsulated messages; one that
-// is empty or missing isn't known, and is told as a schema without columns.
+// schemas: the schema of each table that the command selects, as encapsulated Arrow IPC messages, in the
+// order of table_statements(). Where one is empty or missing, the table is reported with a schema without
+// columns.
 ResultTable tables(const std::vector<config::Table>& tables,
                    const arrow::flight::protocol::sql::CommandGetTables& command,
                    const std::vector<std::string>& schemas = {});
-// Statements whose columns are those of the tables that the command asks for, in their order.
+// One statement for each table that the command selects; its result has the table's columns.
 std::vector<std::string> table_statements(const std::vector<config::Table>& tables,
                                           const arrow::flight::protocol::sql::CommandGetTables& command);
-// The types that parameters may have here; what else engines know is theirs to tell.
+// Only the types that the gateway accepts as parameters: engines may support others.
 ResultTable xdbc_type_info(const arrow::flight::protocol::sql::CommandGetXdbcTypeInfo& command);
-// Keys are the engines' to know: none are told.
-ResultTable no_primary_keys();
-ResultTable no_foreign_keys();
+// Only engines know the keys of tables, so these results have no rows.
+ResultTable empty_primary_keys();
+ResultTable empty_foreign_keys();
 ResultTable table_types();
 
-// SQL LIKE: % is any run of characters, _ any one.
-bool like(std::string_view text, std::string_view pattern);
+// Implements SQL's LIKE: % matches any sequence of characters, _ any single one.
+bool matches_like(std::string_view text, std::string_view pattern);
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/client.cpp
+++ b/src/flightsql/client.cpp
@@ -12,26 +12,26 @@
 using rpc::Awaitable;
 using rpc::Code;
 
-constexpr TimeUs kStopsUs = 60'000'000;  // a reader that stops looks for an end after its patience, or this
+constexpr TimeUs kDefaultStallUs = 60'000'000;  // how long a reader stalls where it has no time-out
 
-rpc::Status no_connection() { return {Code::kUnavailable, "no connection to the gateway", ""}; }
+rpc::Status connection_error() { return {Code::kUnavailable, "no connection to the gateway", ""}; }
 
-rpc::Status time_up() { return {Code::kDeadlineExceeded, "the client's time is up", ""}; }
+rpc::Status timeout_error() { return {Code::kDeadlineExceeded, "the client's time is up", ""}; }
 
-void read_end(const rpc::CallResult& end, QueryResult& out) {
-  out.status = end.status;
-  out.from_gateway = end.status.ok() || !end.trailers.empty();
-  const std::string_view verdict = rpc::find_value(end.trailers, kVerdictKey);
-  if (verdict == "served" || (verdict.empty() && end.status.ok()))
-    out.verdict = dispatch::RequestStatus::kServed;
-  else if (verdict == "refused" || (verdict.empty() && end.status.code == Code::kUnavailable))
-    out.verdict = dispatch::RequestStatus::kRejected;
+void read_call_result(const rpc::CallResult& call_result, QueryResult& result) {
+  result.status = call_result.status;
+  result.from_gateway = call_result.status.ok() || !call_result.trailers.empty();
+  const std::string_view verdict = rpc::find_value(call_result.trailers, kVerdictKey);
+  if (verdict == "served" || (verdict.empty() && call_result.status.ok()))
+    result.verdict = dispatch::RequestStatus::kServed;
+  else if (verdict == "refused" || (verdict.empty() && call_result.status.code == Code::kUnavailable))
+    result.verdict = dispatch::RequestStatus::kRejected;
   else
-    out.verdict = dispatch::RequestStatus::kFailed;
-  out.reason = rpc::find_value(end.trailers, kReasonKey);
-  out.attempts = find_number(end.trailers, kAttemptsKey, 0);
-  out.schema_changed = rpc::find_value(end.trailers, kSchemaKey) == "changed";
-  out.retry_after_us = read_details(end.status).retry_after_us;
+    result.verdict = dispatch::RequestStatus::kFailed;
+  result.reason = rpc::find_value(call_result.trailers, kReasonKey);
+  result.attempts = find_number(call_result.trailers, kAttemptsKey, 0);
+  result.schema_changed = rpc::find_value(call_result.trailers, kSchemaKey) == "changed";
+  result.retry_after_us = read_details(call_result.status).retry_after_us;
 }
 
 }  // namespace
@@ -48,108 +48,108 @@
     if (const auto call = weak.lock()) call->cancel();
 }
 
-Awaitable<std::optional<rpc::Status>> Client::reach(ClientOptions* options) {
+Awaitable<std::optional<rpc::Status>> Client::connect_in_time(ClientOptions* options) {
   const TimeUs begin = clock_.now();
   const bool connected = co_await channel_->connect(options->dial_timeout_us);
-  if (!connected) co_return no_connection();
-  if (!spend(options, begin)) co_return time_up();
+  if (!connected) co_return connection_error();
+  if (!deduct_elapsed(options, begin)) co_return timeout_error();
   co_return std::nullopt;
 }
 
-bool Client::spend(ClientOptions* options, TimeUs begin) const {
+bool Client::deduct_elapsed(ClientOptions* options, TimeUs begin) const {
   if (options->timeout_us == 0) return true;
   options->timeout_us -= clock_.now() - begin;
   return options->timeout_us > 0;
 }
 
-std::shared_ptr<rpc::ClientCall> Client::call(std::string_view method, const ClientOptions& options) {
-  std::shared_ptr<rpc::ClientCall> made =
+std::shared_ptr<rpc::ClientCall> Client::start_call(std::string_view method, const ClientOptions& options) {
+  std::shared_ptr<rpc::ClientCall> call =
       channel_->call(std::string(kServicePrefix) + std::string(method), options.headers, options.timeout_us);
-  if (options.cancel) options.cancel->add(made);
-  return made;
+  if (options.cancel) options.cancel->add(call);
+  return call;
 }
 
 Awaitable<Client::Ticket> Client::ask(std::string statement, ClientOptions options) {
-  Ticket out;
-  const std::optional<rpc::Status> hindered = co_await reach(&options);
-  if (hindered) {
-    out.connected = hindered->code != Code::kUnavailable;
-    out.status = *hindered;
-    co_return out;
+  Ticket result;
+  const std::optional<rpc::Status> connect_error = co_await connect_in_time(&options);
+  if (connect_error) {
+    result.connected = connect_error->code != Code::kUnavailable;
+    result.status = *connect_error;
+    co_return result;
   }
   fsql::CommandStatementQuery command;
   command.set_query(std::move(statement));
-  std::shared_ptr<rpc::ClientCall> made = call("GetFlightInfo", options);
+  std::shared_ptr<rpc::ClientCall> call = start_call("GetFlightInfo", options);
   std::string bytes = descriptor_of(command).SerializeAsString();
-  co_await made->write(std::move(bytes), true);
-  const std::optional<std::string> message = co_await made->read();
-  const rpc::CallResult end = co_await made->finish();
-  out.status = end.status;
+  co_await call->write(std::move(bytes), true);
+  const std::optional<std::string> message = co_await call->read();
+  const rpc::CallResult call_result = co_await call->finish();
+  result.status = call_result.status;
   flight::FlightInfo info;
-  if (end.status.ok() && (!message || !info.ParseFromString(*message) || info.endpoint_size() == 0))
-    out.status = make_error(Code::kInternal, "the answer to GetFlightInfo has no endpoint");
-  if (out.status.ok()) {
-    out.info = *message;
-    out.ticket = info.endpoint(0).ticket().SerializeAsString();
+  if (call_result.status.ok() && (!message || !info.ParseFromString(*message) || info.endpoint_size() == 0))
+    result.status = make_error(Code::kInternal, "the answer to GetFlightInfo has no endpoint");
+  if (result.status.ok()) {
+    result.info = *message;
+    result.ticket = info.endpoint(0).ticket().SerializeAsString();
   }
-  co_return out;
+  co_return result;
 }
 
 Awaitable<QueryResult> Client::fetch(std::string ticket, ClientOptions options, OnBatch on_batch) {
-  QueryResult out;
-  out.connected = true;
-  std::shared_ptr<rpc::ClientCall> made = call("DoGet", options);
-  co_await made->write(std::move(ticket), true);
-  std::string problem;
+  QueryResult result;
+  result.connected = true;
+  std::shared_ptr<rpc::ClientCall> call = start_call("DoGet", options);
+  co_await call->write(std::move(ticket), true);
+  std::string error;
   for (int number = 0;; ++number) {
     if (options.read_every_us > 0) co_await sleep_for(clock_, options.read_every_us);
     if (options.stops_after == number)
-      co_await sleep_for(clock_, options.timeout_us > 0 ? options.timeout_us : kStopsUs);
-    std::optional<std::string> message = co_await made->read();
+      co_await sleep_for(clock_, options.timeout_us > 0 ? options.timeout_us : kDefaultStallUs);
+    std::optional<std::string> message = co_await call->read();
     if (!message) break;
     flight::FlightData data;
-    if (!problem.empty()) continue;
+    if (!error.empty()) continue;
     try {
       if (!data.ParseFromString(*message)) throw arrowipc::FormatError("a message is no FlightData");
       if (data.data_header().empty()) continue;
-      if (!out.has_schema) {
-        out.schema = arrowipc::decode_schema(data.data_header());
-        out.has_schema = true;
+      if (!result.has_schema) {
+        result.schema = arrowipc::decode_schema(data.data_header());
+        result.has_schema = true;
         continue;
       }
-      arrowipc::Batch batch = arrowipc::decode_batch(out.schema, data.data_header(), data.data_body());
-      out.rows += batch.rows;
+      arrowipc::Batch batch = arrowipc::decode_batch(result.schema, data.data_header(), data.data_body());
+      result.rows += batch.rows;
       if (on_batch)
-        on_batch(out.schema, batch);
+        on_batch(result.schema, batch);
       else
-        out.batches.push_back(std::move(batch));
+        result.batches.push_back(std::move(batch));
     } catch (const arrowipc::FormatError& e) {
-      problem = e.what();
-      made->cancel();
+      error = e.what();
+      call->cancel();
     }
   }
-  const rpc::CallResult end = co_await made->finish();
-  read_end(end, out);
-  if (!problem.empty()) {
-    out.verdict = dispatch::RequestStatus::kFailed;
-    out.status = make_error(Code::kInternal, problem);
+  const rpc::CallResult call_result = co_await call->finish();
+  read_call_result(call_result, result);
+  if (!error.empty()) {
+    result.verdict = dispatch::RequestStatus::kFailed;
+    result.status = make_error(Code::kInternal, error);
   }
-  co_return out;
+  co_return result;
 }
 
 Awaitable<QueryResult> Client::query(std::string statement, ClientOptions options, OnBatch on_batch) {
   const TimeUs begin = clock_.now();
   ClientOptions copy = options;
   Ticket ticket = co_await ask(std::move(statement), std::move(copy));
-  if (ticket.status.ok() && !spend(&options, begin)) ticket.status = time_up();
+  if (ticket.status.ok() && !deduct_elapsed(&options, begin)) ticket.status = timeout_error();
   if (!ticket.status.ok()) {
-    QueryResult out;
-    out.connected = ticket.connected;
-    out.status = ticket.status;
-    // Nothing has run: GetFlightInfo does no work.
-    out.verdict = ticket.status.code == Code::kUnavailable ? dispatch::RequestStatus::kRejected
-                                                           : dispatch::RequestStatus::kFailed;
-    co_return out;
+    QueryResult result;
+    result.connected = ticket.connected;
+    result.status = ticket.status;
+    // GetFlightInfo executes no part of the statement.
+    result.verdict = ticket.status.code == Code::kUnavailable ? dispatch::RequestStatus::kRejected
+                                                              : dispatch::RequestStatus::kFailed;
+    co_return result;
   }
   QueryResult result = co_await fetch(std::move(ticket.ticket), std::move(options), std::move(on_batch));
   flight::FlightInfo info;
@@ -165,52 +165,52 @@
 }
 
 Awaitable<QueryResult> Client::update(std::string statement, ClientOptions options) {
-  QueryResult out;
-  const std::optional<rpc::Status> hindered = co_await reach(&options);
-  out.connected = !hindered || hindered->code != Code::kUnavailable;
-  if (hindered) {
-    out.status = *hindered;
-    if (!out.connected) out.verdict = dispatch::RequestStatus::kRejected;
-    co_return out;
+  QueryResult result;
+  const std::optional<rpc::Status> connect_error = co_await connect_in_time(&options);
+  result.connected = !connect_error || connect_error->code != Code::kUnavailable;
+  if (connect_error) {
+    result.status = *connect_error;
+    if (!result.connected) result.verdict = dispatch::RequestStatus::kRejected;
+    co_return result;
   }
   fsql::CommandStatementUpdate command;
   command.set_query(std::move(statement));
   flight::FlightData data;
   *data.mutable_flight_descriptor() = descriptor_of(command);
-  std::shared_ptr<rpc::ClientCall> made = call("DoPut", options);
+  std::shared_ptr<rpc::ClientCall> call = start_call("DoPut", options);
   std::string bytes = data.SerializeAsString();
-  co_await made->write(std::move(bytes), true);
-  while (const std::optional<std::string> message = co_await made->read()) {
+  co_await call->write(std::move(bytes), true);
+  while (const std::optional<std::string> message = co_await call->read()) {
     flight::PutResult put;
-    fsql::DoPutUpdateResult result;
-    if (put.ParseFromString(*message) && result.ParseFromString(put.app_metadata()))
-      out.updated = result.record_count();
+    fsql::DoPutUpdateResult update_result;
+    if (put.ParseFromString(*message) && update_result.ParseFromString(put.app_metadata()))
+      result.updated = update_result.record_count();
   }
-  const rpc::CallResult end = co_await made->finish();
-  read_end(end, out);
-  co_return out;
+  const rpc::CallResult call_result = co_await call->finish();
+  read_call_result(call_result, result);
+  co_return result;
 }
 
 Awaitable<Client::ActionResult> Client::action(std::string type, std::string body, ClientOptions options) {
-  ActionResult out;
-  const std::optional<rpc::Status> hindered = co_await reach(&options);
-  if (hindered) {
-    out.status = *hindered;
-    co_return out;
+  ActionResult result;
+  const std::optional<rpc::Status> connect_error = co_await connect_in_time(&options);
+  if (connect_error) {
+    result.status = *connect_error;
+    co_return result;
   }
   flight::Action action;
   action.set_type(std::move(type));
   action.set_body(std::move(body));
-  std::shared_ptr<rpc::ClientCall> made = call("DoAction", options);
+  std::shared_ptr<rpc::ClientCall> call = start_call("DoAction", options);
   std::string bytes = action.SerializeAsString();
-  co_await made->write(std::move(bytes), true);
-  while (const std::optional<std::string> message = co_await made->read()) {
-    flight::Result result;
-    if (result.ParseFromString(*message)) out.bodies.push_back(result.body());
+  co_await call->write(std::move(bytes), true);
+  while (const std::optional<std::string> message = co_await call->read()) {
+    flight::Result action_result;
+    if (action_result.ParseFromString(*message)) result.bodies.push_back(action_result.body());
   }
-  const rpc::CallResult end = co_await made->finish();
-  out.status = end.status;
-  co_return out;
+  const rpc::CallResult call_result = co_await call->finish();
+  result.status = call_result.status;
+  co_return result;
 }
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/client.h
+++ b/src/flightsql/client.h
@@ -1,4 +1,4 @@
-// A Flight SQL client for the project's own use: the command line, the bad day, tests and benchmarks.
+// A Flight SQL client used by the command line, the bad day, tests and benchmarks.
 #pragma once
 
 #include <functional>
@@ -14,70 +14,72 @@
 
 namespace sablelink::flightsql {
 
-// Breaks calls off from outside, as a client does that goes away. May be used from any thread.
+// Cancels the calls of clients, as a client's disconnection would. Thread-safe.
 class Canceller {
  public:
   void cancel_all();
 
  private:
   friend class Client;
-  void add(const std::shared_ptr<rpc::ClientCall>& call);
+  void add(const std::shared_ptr<rpc::ClientCall>& start_call);
 
   std::mutex mutex_;
   std::vector<std::weak_ptr<rpc::ClientCall>> calls_;
 };
 
 struct ClientOptions {
-  TimeUs timeout_us = 0;  // the client's patience, for connecting and all calls together; 0: without end
+  TimeUs timeout_us = 0;  // limits connecting and all calls together; 0 for none
   rpc::Metadata headers;
   TimeUs dial_timeout_us = 2'000'000;
-  std::shared_ptr<Canceller> cancel;  // may be none
-  // For tests, a reader that takes its time: a pause before each message, and the number of messages after
-  // which it reads no further, whatever its patience.
+  std::shared_ptr<Canceller> cancel;  // may be null
+  // For tests of slow readers: a pause before each message is read, and the number of messages after which
+  // reading stalls until the time-out has passed.
   TimeUs read_every_us = 0;
   std::optional<int> stops_after;
 };
 
 struct QueryResult {
   bool connected = false;
-  bool from_gateway = false;  // the answer came from the gateway; else this side made the status up
+  bool from_gateway = false;  // false: the status was made by the client, not received from the gateway
   rpc::Status status;
-  // As the gateway's trailers tell; where it sent none, from the status: UNAVAILABLE is a refusal.
+  // From the gateway's trailers; where they are missing, from the status, of which UNAVAILABLE is a
+  // rejection.
   dispatch::RequestStatus verdict = dispatch::RequestStatus::kFailed;
   std::string reason;
   int attempts = 0;
   std::optional<TimeUs> retry_after_us;
-  // As the FlightInfo told it; none where that had none. The answer's own is the one that counts.
+  // The schema of the FlightInfo, if it had one. The response may have another, which is the valid one.
   std::optional<arrowipc::Schema> promised;
-  bool schema_changed = false;  // the gateway says that the answer's is another than it promised
+  bool schema_changed = false;  // the gateway reports that the response's schema isn't the FlightInfo's
   arrowipc::Schema schema;
   bool has_schema = false;
   std::vector<arrowipc::Batch> batches;
   int64_t rows = 0;
-  int64_t updated = 0;  // of updates
+  int64_t updated = 0;  // number of rows that an update has changed
 };
 
-// One connection. Used on one strand; calls may overlap.
+// A client with one connection. Used on one strand; calls may be made concurrently.
 class Client {
  public:
-  // The clock, which must outlive the client, is that of the strand.
+  // clock: the strand's; it must outlive the client.
   Client(std::unique_ptr<rpc::Channel> channel, Clock& clock) : channel_(std::move(channel)), clock_(clock) {}
 
-  // Asks for a ticket and takes its answer. Batches are handed to on_batch where given, else kept.
+  // Calls GetFlightInfo, then DoGet. Batches are passed to on_batch if given, and stored in the result
+  // otherwise.
   using OnBatch = std::function<void(const arrowipc::Schema&, const arrowipc::Batch&)>;
   rpc::Awaitable<QueryResult> query(std::string statement, ClientOptions options, OnBatch on_batch = nullptr);
   rpc::Awaitable<QueryResult> update(std::string statement, ClientOptions options);
 
-  // The ticket alone (status tells where there is none), and the answer to a ticket alone.
+  // ask() calls GetFlightInfo alone, fetch() DoGet alone. The ticket is empty unless the status is OK.
   struct Ticket {
     rpc::Status status;
-    std::string info;    // the FlightInfo as it came
-    std::string ticket;  // bytes for fetch()
+    std::string info;    // the serialised FlightInfo
+    std::string ticket;  // the serialised Ticket, for fetch()
     bool connected = true;
   };
   rpc::Awaitable<Ticket> ask(std::string statement, ClientOptions options);
   rpc::Awaitable<QueryResult> fetch(std::string ticket, ClientOptions options, OnBatch on_batch = nullptr);
-  // One action; the bodies of its results.
+  // Calls DoAction. bodies: those of its results.
   struct ActionResult {
     rpc::Status status;
     std::vector<std::string> bodies;
@@ -87,14 +89,14 @@
   rpc::Channel& channel() { return *channel_; }
 
  private:
-  std::shared_ptr<rpc::ClientCall> call(std::string_view method, const ClientOptions& options);
+  std::shared_ptr<rpc::ClientCall> start_call(std::string_view method, const ClientOptions& options);
 
-  // Connects, at the cost of the patience. Why no call can be made: UNAVAILABLE where there is no connection,
-  // DEADLINE_EXCEEDED where no time is left; nothing where one can.
-  rpc::Awaitable<std::optional<rpc::Status>> reach(ClientOptions* options);
+  // Connects and deducts the time spent from the time-out. Returns nullopt where a call can be made;
+  // otherwise UNAVAILABLE where the connection fails, and DEADLINE_EXCEEDED where no time is left.
+  rpc::Awaitable<std::optional<rpc::Status>> connect_in_time(ClientOptions* options);
 
-  // Takes what has passed since begin off the patience; false where none is left.
-  bool spend(ClientOptions* options, TimeUs begin) const;
+  // Deducts the time since begin from the time-out; false where no time is left.
+  bool deduct_elapsed(ClientOptions* options, TimeUs begin) const;
 
   std::unique_ptr<rpc::Channel> channel_;
   Clock& clock_;
--- a/src/flightsql/engine_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -19,14 +19,14 @@
 using dispatch::AttemptSpec;
 using rpc::Awaitable;
 
-constexpr TimeUs kProbeMostUs = 10'000'000;  // the dispatcher gives a probe up before
-constexpr size_t kNoteBytes = 256;           // a longer message holds data
+constexpr TimeUs kAuxiliaryCallTimeoutUs = 10'000'000;  // the dispatcher abandons a health check earlier
+constexpr size_t kMaxProgressNoteBytes = 256;           // longer messages contain data
 
 std::string method(std::string_view name) { return std::string(kServicePrefix) + std::string(name); }
 
-// The note that a message is, if it holds nothing else.
-std::optional<wire::ProgressNote> note_of(const std::string& message) {
-  if (message.size() > kNoteBytes) return std::nullopt;
+// Returns the progress note in a message; nullopt where it contains data or no note.
+std::optional<wire::ProgressNote> parse_progress_note(const std::string& message) {
+  if (message.size() > kMaxProgressNoteBytes) return std::nullopt;
   flight::FlightData data;
   wire::ProgressNote note;
   if (!data.ParseFromString(message) || !data.data_header().empty() || data.app_metadata().empty() ||
@@ -35,10 +35,10 @@
   return note;
 }
 
-// What an engine answers to a planning call.
+// An engine's response to a planning call.
 struct PlanningResponse {
   wire::Plan plan;
-  std::string prepared_handle;  // of a prepared statement that the engine has made for it; empty: none
+  std::string prepared_handle;  // of the prepared statement created for the call, if any
 };
 
 std::optional<PlanningResponse> parse_schema_result(const std::string& message) {
@@ -66,20 +66,21 @@
   return is_prepared ? parse_prepared_statement(message) : parse_schema_result(message);
 }
 
-AttemptResult broken(rpc::Code code, std::string what) {
+AttemptResult error_result(rpc::Code code, std::string message) {
   AttemptResult result;
   result.outcome = Outcome::kError;
-  result.error = {static_cast<int>(code), std::move(what)};
+  result.error = {static_cast<int>(code), std::move(message)};
   return result;
 }
 
 }  // namespace
 
-// One attempt on its way. Dropped ones only unwind.
-struct FlightSqlEngineClient::Task {
-  AttemptId key;
+// An attempt in flight. Once it is cancelled, its coroutine returns without reporting anything to the
+// dispatcher.
+struct FlightSqlEngineClient::AttemptTask {
+  AttemptId attempt;
   std::shared_ptr<rpc::ClientCall> call;
-  bool dropped = false;
+  bool cancelled = false;
   bool paused = false;
   AsyncEvent resumed;
 };
@@ -94,230 +95,239 @@
 
 FlightSqlEngineClient::~FlightSqlEngineClient() = default;
 
-std::shared_ptr<rpc::Channel> FlightSqlEngineClient::channel(EngineId engine) {
+std::shared_ptr<rpc::Channel> FlightSqlEngineClient::next_channel(EngineId engine) {
   Node& node = nodes_[engine];
   if (node.channels.empty()) {
     node.address = address_of_(engine);
     if (node.address.empty()) return nullptr;
     for (size_t i = 0; i < options_.connections; ++i) node.channels.push_back(channels_.open(node.address));
   }
-  return node.channels[node.next++ % node.channels.size()];
+  return node.channels[node.next_channel_index++ % node.channels.size()];
 }
 
-rpc::Metadata FlightSqlEngineClient::metadata(AttemptId key, const AttemptSpec& order) const {
-  rpc::Metadata m;
-  m.emplace_back(kRequestKey, options_.origin + "/" + std::to_string(key.request));
-  m.emplace_back(kAttemptKey, std::to_string(key.number));
-  m.emplace_back(kPriorityKey, std::to_string(order.priority));
-  m.emplace_back(kAllowKey, std::to_string(order.remaining_us));
-  if (order.memory_grant_mb > 0) m.emplace_back(kGrantKey, std::to_string(order.memory_grant_mb));
-  if (!order.statement->client_tag.empty()) m.emplace_back(kClientTagKey, order.statement->client_tag);
-  return m;
+rpc::Metadata FlightSqlEngineClient::attempt_metadata(AttemptId attempt, const AttemptSpec& spec) const {
+  rpc::Metadata metadata;
+  metadata.emplace_back(kRequestKey, options_.origin + "/" + std::to_string(attempt.request));
+  metadata.emplace_back(kAttemptKey, std::to_string(attempt.number));
+  metadata.emplace_back(kPriorityKey, std::to_string(spec.priority));
+  metadata.emplace_back(kAllowKey, std::to_string(spec.remaining_us));
+  if (spec.memory_grant_mb > 0) metadata.emplace_back(kGrantKey, std::to_string(spec.memory_grant_mb));
+  if (!spec.statement->client_tag.empty()) metadata.emplace_back(kClientTagKey, spec.statement->client_tag);
+  return metadata;
 }
 
 template <typename Coroutine>
 void FlightSqlEngineClient::spawn(Coroutine coroutine) {
-  ++busy_;
+  ++active_coroutines_;
   boost::asio::co_spawn(executor_, std::move(coroutine), [this](const std::exception_ptr& error) {
-    --busy_;
+    --active_coroutines_;
     if (error) std::rethrow_exception(error);
   });
 }
 
-void FlightSqlEngineClient::start(AttemptId key, EngineId engine, const AttemptSpec& order) {
-  const auto task = std::make_shared<Task>();
-  task->key = key;
-  running_[number_of(key)] = task;
-  spawn(run(task, engine, order));
+void FlightSqlEngineClient::start(AttemptId attempt, EngineId engine, const AttemptSpec& spec) {
+  const auto task = std::make_shared<AttemptTask>();
+  task->attempt = attempt;
+  tasks_[task_key(attempt)] = task;
+  spawn(run(task, engine, spec));
 }
 
-Awaitable<void> FlightSqlEngineClient::run(std::shared_ptr<Task> task, EngineId engine, AttemptSpec order) {
+Awaitable<void> FlightSqlEngineClient::run(std::shared_ptr<AttemptTask> task, EngineId engine,
+                                           AttemptSpec spec) {
   AttemptResult result;
-  const std::shared_ptr<rpc::Channel> to = channel(engine);
+  const std::shared_ptr<rpc::Channel> channel = next_channel(engine);
   bool connected = false;
-  if (to) connected = co_await to->connect(options_.dial_timeout_us);
+  if (channel) connected = co_await channel->connect(options_.dial_timeout_us);
   if (!connected) {
     result.outcome = Outcome::kConnectFailed;
     result.error = {static_cast<int>(rpc::Code::kUnavailable), "no connection to the node"};
-  } else if (task->dropped) {
+  } else if (task->cancelled) {
     co_return;
-  } else if (order.statement->kind == dispatch::ExecutionKind::kUpdate) {
-    result = co_await update(task, to, order);
-  } else if (order.statement->kind == dispatch::ExecutionKind::kPlan) {
-    result = co_await plan(task, to, order);
+  } else if (spec.statement->kind == dispatch::ExecutionKind::kUpdate) {
+    result = co_await update(task, channel, spec);
+  } else if (spec.statement->kind == dispatch::ExecutionKind::kPlan) {
+    result = co_await plan(task, channel, spec);
   } else {
-    result = co_await query(task, to, order);
+    result = co_await query(task, channel, spec);
   }
   task->call = nullptr;
-  if (task->dropped) co_return;
-  running_.erase(number_of(task->key));
-  dispatcher_->on_attempt_completed(task->key, result);
+  if (task->cancelled) co_return;
+  tasks_.erase(task_key(task->attempt));
+  dispatcher_->on_attempt_completed(task->attempt, result);
 }
 
-Awaitable<rpc::CallResult> FlightSqlEngineClient::relay(std::shared_ptr<Task> task) {
+Awaitable<rpc::CallResult> FlightSqlEngineClient::relay_messages(std::shared_ptr<AttemptTask> task) {
   const std::shared_ptr<rpc::ClientCall> call = task->call;
   while (std::optional<std::string> message = co_await call->read()) {
-    if (task->dropped) break;
-    if (const auto note = note_of(*message)) {
-      dispatcher_->on_attempt_progress(task->key, static_cast<ProgressKind>(note->kind() - 1), note->value());
+    if (task->cancelled) break;
+    if (const auto note = parse_progress_note(*message)) {
+      dispatcher_->on_attempt_progress(task->attempt, static_cast<ProgressKind>(note->kind() - 1),
+                                       note->value());
       continue;
     }
-    if (!dispatcher_->on_attempt_message(task->key, std::move(*message))) task->paused = true;
-    while (task->paused && !task->dropped) co_await task->resumed.wait();
+    if (!dispatcher_->on_attempt_message(task->attempt, std::move(*message))) task->paused = true;
+    while (task->paused && !task->cancelled) co_await task->resumed.wait();
   }
-  rpc::CallResult end;
-  if (!task->dropped) end = co_await call->finish();
-  co_return end;
+  rpc::CallResult call_result;
+  if (!task->cancelled) call_result = co_await call->finish();
+  co_return call_result;
 }
 
-Awaitable<AttemptResult> FlightSqlEngineClient::query(std::shared_ptr<Task> task,
-                                                      std::shared_ptr<rpc::Channel> to,
-                                                      const AttemptSpec& order) {
-  const rpc::Metadata terms = metadata(task->key, order);
+Awaitable<AttemptResult> FlightSqlEngineClient::query(std::shared_ptr<AttemptTask> task,
+                                                      std::shared_ptr<rpc::Channel> channel,
+                                                      const AttemptSpec& spec) {
+  const rpc::Metadata metadata = attempt_metadata(task->attempt, spec);
   fsql::CommandStatementQuery command;
-  command.set_query(order.statement->text);
-  std::shared_ptr<rpc::ClientCall> call = to->call(method("GetFlightInfo"), terms, 0);
+  command.set_query(spec.statement->text);
+  std::shared_ptr<rpc::ClientCall> call = channel->call(method("GetFlightInfo"), metadata, 0);
   task->call = call;
   std::string bytes = descriptor_of(command).SerializeAsString();
   co_await call->write(std::move(bytes), true);
   std::optional<std::string> message = co_await call->read();
   AttemptResult result;
-  if (task->dropped) co_return result;
-  const rpc::CallResult planned = co_await call->finish();
-  if (!planned.status.ok() || task->dropped) {
-    result = map_call_end(planned);
+  if (task->cancelled) co_return result;
+  const rpc::CallResult info_result = co_await call->finish();
+  if (!info_result.status.ok() || task->cancelled) {
+    result = map_call_end(info_result);
     co_return result;
   }
   flight::FlightInfo info;
   if (!message || !info.ParseFromString(*message) || info.endpoint_size() != 1) {
-    result = broken(rpc::Code::kInternal, "the node's FlightInfo is no answer with one endpoint");
+    result = error_result(rpc::Code::kInternal, "the node's FlightInfo is no answer with one endpoint");
     co_return result;
   }
 
-  call = to->call(method("DoGet"), terms, 0);
+  call = channel->call(method("DoGet"), metadata, 0);
   task->call = call;
   bytes = info.endpoint(0).ticket().SerializeAsString();
   co_await call->write(std::move(bytes), true);
-  const rpc::CallResult end = co_await relay(task);
-  result = map_call_end(end);
+  const rpc::CallResult call_result = co_await relay_messages(task);
+  result = map_call_end(call_result);
   co_return result;
 }
 
-Awaitable<AttemptResult> FlightSqlEngineClient::update(std::shared_ptr<Task> task,
-                                                       std::shared_ptr<rpc::Channel> to,
-                                                       const AttemptSpec& order) {
+Awaitable<AttemptResult> FlightSqlEngineClient::update(std::shared_ptr<AttemptTask> task,
+                                                       std::shared_ptr<rpc::Channel> channel,
+                                                       const AttemptSpec& spec) {
   fsql::CommandStatementUpdate command;
-  command.set_query(order.statement->text);
+  command.set_query(spec.statement->text);
   flight::FlightData data;
   *data.mutable_flight_descriptor() = descriptor_of(command);
-  const std::shared_ptr<rpc::ClientCall> call = to->call(method("DoPut"), metadata(task->key, order), 0);
+  const std::shared_ptr<rpc::ClientCall> call =
+      channel->call(method("DoPut"), attempt_metadata(task->attempt, spec), 0);
   task->call = call;
   std::string bytes = data.SerializeAsString();
   co_await call->write(std::move(bytes), true);
-  const rpc::CallResult end = co_await relay(task);
-  AttemptResult result = map_call_end(end);
+  const rpc::CallResult call_result = co_await relay_messages(task);
+  AttemptResult result = map_call_end(call_result);
   co_return result;
 }
 
-// GetSchema tells the columns of what a statement would answer. A statement with parameters has to be
-// prepared: the answer to that tells the parameters' too.
-Awaitable<AttemptResult> FlightSqlEngineClient::plan(std::shared_ptr<Task> task,
-                                                     std::shared_ptr<rpc::Channel> to,
-                                                     const AttemptSpec& order) {
-  const bool prepares = sql::count_parameters(order.statement->text) > 0;
-  std::string question;
-  if (prepares) {
+// GetSchema returns only the result schema, so a statement with parameters is prepared instead: the response
+// to that contains the parameter schema as well.
+Awaitable<AttemptResult> FlightSqlEngineClient::plan(std::shared_ptr<AttemptTask> task,
+                                                     std::shared_ptr<rpc::Channel> channel,
+                                                     const AttemptSpec& spec) {
+  const bool has_parameters = sql::count_parameters(spec.statement->text) > 0;
+  std::string request_bytes;
+  if (has_parameters) {
     fsql::ActionCreatePreparedStatementRequest request;
-    request.set_query(order.statement->text);
+    request.set_query(spec.statement->text);
     flight::Action action;
     action.set_type("CreatePreparedStatement");
     action.set_body(pack(request));
-    question = action.SerializeAsString();
+    request_bytes = action.SerializeAsString();
   } else {
     fsql::CommandStatementQuery command;
-    command.set_query(order.statement->text);
-    question = descriptor_of(command).SerializeAsString();
+    command.set_query(spec.statement->text);
+    request_bytes = descriptor_of(command).SerializeAsString();
   }
-  const std::shared_ptr<rpc::ClientCall> call =
-      to->call(method(prepares ? "DoAction" : "GetSchema"), metadata(task->key, order), 0);
+  const std::shared_ptr<rpc::ClientCall> call = channel->call(
+      method(has_parameters ? "DoAction" : "GetSchema"), attempt_metadata(task->attempt, spec), 0);
   task->call = call;
-  co_await call->write(std::move(question), true);
+  co_await call->write(std::move(request_bytes), true);
   const std::optional<std::string> message = co_await call->read();
   AttemptResult result;
-  if (task->dropped) co_return result;
-  const rpc::CallResult end = co_await call->finish();
-  result = map_call_end(end);
-  if (!end.status.ok() || task->dropped) co_return result;
+  if (task->cancelled) co_return result;
+  const rpc::CallResult call_result = co_await call->finish();
+  result = map_call_end(call_result);
+  if (!call_result.status.ok() || task->cancelled) co_return result;
   std::optional<PlanningResponse> response;
-  if (message) response = parse_planning_response(*message, prepares);
+  if (message) response = parse_planning_response(*message, has_parameters);
   if (!response) {
-    result = broken(rpc::Code::kInternal, "the node's plan is no answer that Flight SQL knows");
+    result = error_result(rpc::Code::kInternal, "the node's plan is no answer that Flight SQL knows");
     co_return result;
   }
-  if (!response->prepared_handle.empty()) spawn(forget_prepared(to, std::move(response->prepared_handle)));
+  if (!response->prepared_handle.empty())
+    spawn(close_prepared_statement(channel, std::move(response->prepared_handle)));
   std::string bytes = response->plan.SerializeAsString();
-  dispatcher_->on_attempt_message(task->key, std::move(bytes));
+  dispatcher_->on_attempt_message(task->attempt, std::move(bytes));
   co_return result;
 }
 
-// The node is told that its prepared statement isn't wanted any more. Whether it hears, it decides itself.
-Awaitable<void> FlightSqlEngineClient::forget_prepared(std::shared_ptr<rpc::Channel> to, std::string handle) {
+// Closes a prepared statement that a planning call has created. The node's response is ignored.
+Awaitable<void> FlightSqlEngineClient::close_prepared_statement(std::shared_ptr<rpc::Channel> channel,
+                                                                std::string handle) {
   fsql::ActionClosePreparedStatementRequest request;
   request.set_prepared_statement_handle(std::move(handle));
   flight::Action action;
   action.set_type("ClosePreparedStatement");
   action.set_body(pack(request));
-  const std::shared_ptr<rpc::ClientCall> call = to->call(method("DoAction"), {}, kProbeMostUs);
+  const std::shared_ptr<rpc::ClientCall> call =
+      channel->call(method("DoAction"), {}, kAuxiliaryCallTimeoutUs);
   std::string bytes = action.SerializeAsString();
   co_await call->write(std::move(bytes), true);
   co_await call->read();
   co_await call->finish();
 }
 
-void FlightSqlEngineClient::cancel(AttemptId key) {
-  const auto it = running_.find(number_of(key));
-  if (it == running_.end()) return;
-  const std::shared_ptr<Task> task = it->second;
-  running_.erase(it);
-  task->dropped = true;
+void FlightSqlEngineClient::cancel(AttemptId attempt) {
+  const auto it = tasks_.find(task_key(attempt));
+  if (it == tasks_.end()) return;
+  const std::shared_ptr<AttemptTask> task = it->second;
+  tasks_.erase(it);
+  task->cancelled = true;
   if (task->call) task->call->cancel();
   task->resumed.set();
 }
 
-void FlightSqlEngineClient::resume(AttemptId key) {
-  const auto it = running_.find(number_of(key));
-  if (it == running_.end()) return;
+void FlightSqlEngineClient::resume(AttemptId attempt) {
+  const auto it = tasks_.find(task_key(attempt));
+  if (it == tasks_.end()) return;
   it->second->paused = false;
   it->second->resumed.set();
 }
 
 void FlightSqlEngineClient::drop_all() {
-  while (!running_.empty()) cancel(running_.begin()->second->key);
+  while (!tasks_.empty()) cancel(tasks_.begin()->second->attempt);
 }
 
-void FlightSqlEngineClient::check_health(uint32_t probe, EngineId engine) { spawn(ask(probe, engine)); }
+void FlightSqlEngineClient::check_health(uint32_t check, EngineId engine) {
+  spawn(run_health_check(check, engine));
+}
 
-// A question that any Flight SQL server can answer, and that costs it little.
-Awaitable<void> FlightSqlEngineClient::ask(uint32_t probe, EngineId engine) {
-  const std::shared_ptr<rpc::Channel> to = channel(engine);
+// Sends GetFlightInfo for GetSqlInfo, which every Flight SQL server can answer at little cost.
+Awaitable<void> FlightSqlEngineClient::run_health_check(uint32_t check, EngineId engine) {
+  const std::shared_ptr<rpc::Channel> channel = next_channel(engine);
   bool connected = false;
-  if (to) connected = co_await to->connect(options_.dial_timeout_us);
+  if (channel) connected = co_await channel->connect(options_.dial_timeout_us);
   if (!connected) {
-    dispatcher_->on_health_check_completed(probe, Outcome::kConnectFailed, std::nullopt);
+    dispatcher_->on_health_check_completed(check, Outcome::kConnectFailed, std::nullopt);
     co_return;
   }
-  const std::shared_ptr<rpc::ClientCall> call = to->call(method("GetFlightInfo"), {}, kProbeMostUs);
-  std::string question = descriptor_of(fsql::CommandGetSqlInfo()).SerializeAsString();
-  co_await call->write(std::move(question), true);
+  const std::shared_ptr<rpc::ClientCall> call =
+      channel->call(method("GetFlightInfo"), {}, kAuxiliaryCallTimeoutUs);
+  std::string request_bytes = descriptor_of(fsql::CommandGetSqlInfo()).SerializeAsString();
+  co_await call->write(std::move(request_bytes), true);
   co_await call->read();
-  const rpc::CallResult end = co_await call->finish();
-  const AttemptResult result = map_call_end(end);
-  // A server that doesn't know the question is alive.
+  const rpc::CallResult call_result = co_await call->finish();
+  const AttemptResult result = map_call_end(call_result);
+  // A server that rejects the command is still healthy.
   const Outcome outcome = result.is_statement_error ? Outcome::kOk : result.outcome;
-  dispatcher_->on_health_check_completed(probe, outcome, result.load_report);
+  dispatcher_->on_health_check_completed(check, outcome, result.load_report);
 }
 
-// Channels close once the last call on them has ended; the next attempt dials anew.
+// A channel is closed when the last call on it has ended; the next attempt opens new channels.
 void FlightSqlEngineClient::close_idle_connections(EngineId engine) { nodes_.erase(engine); }
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/engine_client.h
+++ b/src/flightsql/engine_client.h
@@ -1,5 +1,6 @@
-// Sends attempts to nodes over Flight SQL: queries by GetFlightInfo and DoGet, updates by DoPut. Decides
-// nothing; how a call's end reads as an outcome is in terms.h.
+// Sends attempts to nodes over Flight SQL: queries by GetFlightInfo and DoGet, updates by DoPut, planning
+// calls by GetSchema or CreatePreparedStatement. It makes no decisions; terms.h has the mapping of calls to
+// outcomes.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,64 +19,65 @@
 namespace sablelink::flightsql {
 
 struct FlightSqlEngineClientOptions {
-  std::string origin;  // names this gateway and its start in every request's name
+  std::string origin;  // "GATEWAY/INCARNATION", the first part of every request's name
   TimeUs dial_timeout_us = 250'000;
   size_t connections = 1;  // to each node
 };
 
-// Everything happens on the executor, a strand, which is the dispatcher's as well.
+// All methods are called on the executor, which is the dispatcher's strand.
 class FlightSqlEngineClient : public dispatch::EngineTransport {
  public:
   using AddressOf = std::function<std::string(EngineId)>;
 
-  // The factory must outlive this object, and this object the executor's pending work.
+  // The channel factory must outlive this object, and this object must outlive the executor's pending work.
   FlightSqlEngineClient(FlightSqlEngineClientOptions options, boost::asio::any_io_executor executor,
                         rpc::ChannelFactory& channels, AddressOf address_of);
   ~FlightSqlEngineClient() override;
-  // Where attempts' news goes; set once, before anything is started.
+  // Sets the receiver of attempts' events; called once, before the first attempt.
   void set_dispatcher(dispatch::RequestDispatcher* dispatcher) { dispatcher_ = dispatcher; }
 
-  void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override;
-  void cancel(dispatch::AttemptId key) override;
-  void resume(dispatch::AttemptId key) override;
-  void check_health(uint32_t probe, EngineId engine) override;
+  void start(dispatch::AttemptId attempt, EngineId engine, const dispatch::AttemptSpec& spec) override;
+  void cancel(dispatch::AttemptId attempt) override;
+  void resume(dispatch::AttemptId attempt) override;
+  void check_health(uint32_t check, EngineId engine) override;
   void close_idle_connections(EngineId engine) override;
 
-  // Drops every attempt.
+  // Cancels every attempt.
   void drop_all();
-  // Coroutines that haven't ended, those of dropped attempts among them. At 0 this object may go.
-  size_t busy() const { return busy_; }
+  // Number of coroutines that haven't completed, including those of cancelled attempts. This object may be
+  // destroyed only when it is 0.
+  size_t busy() const { return active_coroutines_; }
 
  private:
-  struct Task;
+  struct AttemptTask;
   struct Node {
     std::string address;
     std::vector<std::shared_ptr<rpc::Channel>> channels;
-    size_t next = 0;
+    size_t next_channel_index = 0;
   };
-  static uint64_t number_of(dispatch::AttemptId key) {
-    return uint64_t{key.request} << 8 | (key.number & 0xff);
+  static uint64_t task_key(dispatch::AttemptId attempt) {
+    return uint64_t{attempt.request} << 8 | (attempt.number & 0xff);
   }
 
-  std::shared_ptr<rpc::Channel> channel(EngineId engine);
-  rpc::Awaitable<void> run(std::shared_ptr<Task> task, EngineId engine, dispatch::AttemptSpec order);
-  rpc::Awaitable<void> ask(uint32_t probe, EngineId engine);
+  std::shared_ptr<rpc::Channel> next_channel(EngineId engine);
+  rpc::Awaitable<void> run(std::shared_ptr<AttemptTask> task, EngineId engine, dispatch::AttemptSpec spec);
+  rpc::Awaitable<void> run_health_check(uint32_t check, EngineId engine);
   template <typename Coroutine>
   void spawn(Coroutine coroutine);
-  rpc::Awaitable<dispatch::AttemptResult> query(std::shared_ptr<Task> task,
+  rpc::Awaitable<dispatch::AttemptResult> query(std::shared_ptr<AttemptTask> task,
                                                 std::shared_ptr<rpc::Channel> channel,
-                                                const dispatch::AttemptSpec& order);
-  rpc::Awaitable<dispatch::AttemptResult> update(std::shared_ptr<Task> task,
+                                                const dispatch::AttemptSpec& spec);
+  rpc::Awaitable<dispatch::AttemptResult> update(std::shared_ptr<AttemptTask> task,
                                                  std::shared_ptr<rpc::Channel> channel,
-                                                 const dispatch::AttemptSpec& order);
-  // Asks for a statement's columns; nothing is run.
-  rpc::Awaitable<dispatch::AttemptResult> plan(std::shared_ptr<Task> task,
+                                                 const dispatch::AttemptSpec& spec);
+  // Gets a statement's schemas without executing it.
+  rpc::Awaitable<dispatch::AttemptResult> plan(std::shared_ptr<AttemptTask> task,
                                                std::shared_ptr<rpc::Channel> channel,
-                                               const dispatch::AttemptSpec& order);
-  rpc::Awaitable<void> forget_prepared(std::shared_ptr<rpc::Channel> channel, std::string handle);
-  // Hands the answer's messages on until there are no more.
-  rpc::Awaitable<rpc::CallResult> relay(std::shared_ptr<Task> task);
-  rpc::Metadata metadata(dispatch::AttemptId key, const dispatch::AttemptSpec& order) const;
+                                               const dispatch::AttemptSpec& spec);
+  rpc::Awaitable<void> close_prepared_statement(std::shared_ptr<rpc::Channel> channel, std::string handle);
+  // Passes the messages of a response to the dispatcher until the call ends.
+  rpc::Awaitable<rpc::CallResult> relay_messages(std::shared_ptr<AttemptTask> task);
+  rpc::Metadata attempt_metadata(dispatch::AttemptId attempt, const dispatch::AttemptSpec& spec) const;
 
   const FlightSqlEngineClientOptions options_;
   boost::asio::any_io_executor executor_;
@@ -83,8 +85,8 @@
   AddressOf address_of_;
   dispatch::RequestDispatcher* dispatcher_ = nullptr;
   std::unordered_map<EngineId, Node> nodes_;
-  std::unordered_map<uint64_t, std::shared_ptr<Task>> running_;
-  size_t busy_ = 0;
+  std::unordered_map<uint64_t, std::shared_ptr<AttemptTask>> tasks_;
+  size_t active_coroutines_ = 0;
 };
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/flight_sql_server.h
+++ b/src/flightsql/flight_sql_server.h
@@ -1,7 +1,7 @@
-// The Flight SQL front: takes clients' calls, hands requests to the dispatcher and gives its answers back.
-// One instance serves one gateway, on the dispatcher's strand.
+// The gateway's Flight SQL server: accepts clients' calls, submits requests to the dispatcher and returns the
+// responses. There is one instance for each gateway, on the dispatcher's strand.
 //
-// A statement is taken when DoGet (or DoPut, for updates) comes: GetFlightInfo only hands out a ticket.
+// A query is submitted by DoGet, an update by DoPut; GetFlightInfo only returns a ticket.
 #pragma once
 
 #include <functional>
@@ -14,36 +14,36 @@
 #include "base/log.h"
 #include "config/gateway_config.h"
 #include "dispatch/request_dispatcher.h"
-#include "flightsql/columns.h"
 #include "flightsql/messages.h"
 #include "flightsql/prepared.h"
+#include "flightsql/schema_resolver.h"
 #include "flightsql/tickets.h"
 #include "rpc/rpc.h"
 
 namespace sablelink::flightsql {
 
-// Random numbers that main draws once for each start.
+// Random numbers, drawn once at each start of the gateway.
 struct FlightSqlServerSeeds {
   uint64_t life = 0, secret = 0, handles = 0;
 };
 
 class FlightSqlServer {
  public:
-  // The references must outlive the front, and the front all calls given to handle().
+  // The references must outlive the server, and the server must outlive all calls passed to handle().
   FlightSqlServer(const config::GatewayConfig& config, const FlightSqlServerSeeds& seeds,
                   dispatch::RequestDispatcher& dispatcher, Clock& clock, Log& log);
   ~FlightSqlServer();
 
-  // Serves one call, of any method.
+  // Serves one call of any Flight method.
   rpc::Awaitable<void> handle(std::shared_ptr<rpc::ServerCall> call);
 
-  // Takes other selectors over, for requests that come from now on.
+  // Replaces the selectors, for requests that arrive from now on.
   void set_selectors(config::SelectorSettings selectors);
 
-  const Columns& columns() const { return columns_; }
+  const SchemaResolver& columns() const { return schema_resolver_; }
 
  private:
-  class Reply;
+  class PendingResponse;
   using CallPtr = std::shared_ptr<rpc::ServerCall>;
 
   rpc::Awaitable<void> handshake(CallPtr call);
@@ -56,58 +56,67 @@
   rpc::Awaitable<void> do_action(CallPtr call);
   rpc::Awaitable<void> list_actions(CallPtr call);
 
-  rpc::Awaitable<void> bind(CallPtr call, const std::string& handle, std::string first);
-  rpc::Awaitable<void> update_prepared(CallPtr call, const std::string& handle, std::string first);
-  // Reads the parameter batches of a DoPut, the first message among them; one list of literals for each row.
-  rpc::Awaitable<std::vector<std::vector<std::string>>> read_rows(CallPtr call, std::string first);
+  rpc::Awaitable<void> bind_parameters(CallPtr call, const std::string& handle, std::string first_message);
+  rpc::Awaitable<void> execute_prepared_update(CallPtr call, const std::string& handle,
+                                               std::string first_message);
+  // Reads the parameter batches of a DoPut, of which the first message has been read already. Returns the SQL
+  // literals of each row.
+  rpc::Awaitable<std::vector<std::vector<std::string>>> read_parameter_rows(CallPtr call,
+                                                                            std::string first_message);
 
-  // A statement, and what its words and the call's headers make of it.
-  struct Placed {
+  // A statement and its classification by its text and the call's headers.
+  struct ClassifiedStatement {
     std::string text;
     sql::StatementInfo info;
-    config::Classification chosen;
+    config::Classification classification;
   };
-  Placed place(const rpc::ServerCall& call, std::string text) const;
-  // What a statement's columns are, as far as they are known or can be asked for.
-  rpc::Awaitable<Columns::Told> columns_of(CallPtr call, std::string text, bool with_parameters);
-
-  struct Ran {
-    dispatch::FinalResponse answer;
-    bool other_schema = false;  // than was promised
-    bool gone = false;          // the client has left
-    bool cancelled = false;
-    std::string message;  // of an update that wasn't to be forwarded: the node's answer
+  ClassifiedStatement classify(const rpc::ServerCall& call, std::string text) const;
+  // Resolves a statement's schemas from the cache or by a planning call.
+  rpc::Awaitable<SchemaResolver::Resolution> resolve_schemas(CallPtr call, std::string text,
+                                                             bool with_parameters);
+
+  struct ExecutionResult {
+    dispatch::FinalResponse response;
+    bool schema_changed = false;  // the response's schema wasn't the announced one
+    bool client_disconnected = false;
+    bool cancelled = false;    // by CancelFlightInfo or CancelQuery
+    std::string last_message;  // the last message of the node's response, not sent to the client yet
   };
-  // Runs a statement. Its messages go to the client as they come, or, for updates, into Ran.
-  rpc::Awaitable<Ran> run(CallPtr call, std::string text, bool update, const OpenedTicket& ticket,
-                          bool repeat);
-  // What the module is told of a statement.
-  QueryRequest request_of(const rpc::ServerCall& call, const Placed& placed, bool update, bool repeat) const;
-  // Passes an answer's messages on until it is over. kept takes the one that shouldn't go out by itself.
-  rpc::Awaitable<void> forward(CallPtr call, std::shared_ptr<Reply> reply, bool update, std::string* kept);
-  rpc::Awaitable<void> finish(CallPtr call, Ran ran);
-  rpc::Awaitable<void> fail(CallPtr call, rpc::Code code, std::string message);
-  rpc::Awaitable<void> reply(CallPtr call, std::string message);
-
-  // The statement of a command that a ticket can be had for; throws CallError.
-  std::string statement_of(const google::protobuf::Any& any);
-  std::string checked_statement(std::string text) const;
-  PreparedStatements::Found find_prepared(const std::string& handle);  // throws CallError
-  std::string prepared_statement(const std::string& handle);
-  fsql::ActionCancelQueryResult::CancelResult cancel(const flight::FlightInfo& info);
+  // Executes a statement. The messages of a query's response are sent to the client as they arrive, except
+  // the last one; those of an update's response aren't sent.
+  rpc::Awaitable<ExecutionResult> execute(CallPtr call, std::string text, bool is_update,
+                                          const OpenedTicket& ticket, bool is_client_retry);
+  // Builds the workload manager's view of a statement.
+  QueryRequest build_query_request(const rpc::ServerCall& call, const ClassifiedStatement& classified,
+                                   bool is_update, bool is_client_retry) const;
+  // Sends the messages of a response to the client until it has completed. The last message of a query's
+  // response is stored in last_message instead, to be sent together with the status. Of an update's response
+  // no message is sent, and the last one is stored.
+  rpc::Awaitable<void> forward_messages(CallPtr call, std::shared_ptr<PendingResponse> pending,
+                                        bool is_update, std::string* last_message);
+  rpc::Awaitable<void> finish_call(CallPtr call, ExecutionResult result);
+  rpc::Awaitable<void> fail_call(CallPtr call, rpc::Code code, std::string message);
+  rpc::Awaitable<void> finish_with_message(CallPtr call, std::string message);
+
+  // Returns the statement of a command for which tickets are issued. Throws CallError for other commands.
+  std::string statement_from_command(const google::protobuf::Any& any);
+  std::string validate_statement(std::string text) const;
+  PreparedStatements::BoundStatement find_prepared(const std::string& handle);  // throws CallError
+  std::string bound_statement(const std::string& handle);
+  fsql::ActionCancelQueryResult::CancelResult cancel_running(const flight::FlightInfo& info);
 
   const config::FlightSqlLimits limits_;
   config::SelectorSettings selectors_;
   const std::vector<ClassSettings> classes_;
-  const TimeUs most_wait_us_;  // for plans, in one call
+  const TimeUs max_planning_wait_us_;  // also limits all planning calls of one GetTables
   dispatch::RequestDispatcher& dispatcher_;
   Clock& clock_;
   Log& log_;
   TicketOffice tickets_;
   PreparedStatements prepared_;
-  Columns columns_;
-  std::unordered_map<std::string, size_t> open_by_peer_;
-  std::multimap<uint64_t, std::weak_ptr<Reply>> running_;  // by ticket
+  SchemaResolver schema_resolver_;
+  std::unordered_map<std::string, size_t> open_requests_by_peer_;
+  std::multimap<uint64_t, std::weak_ptr<PendingResponse>> running_by_ticket_;  // by ticket serial
 };
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/messages.h
+++ b/src/flightsql/messages.h
@@ -1,4 +1,4 @@
-// Small helpers around the Flight messages that front, node client, client and stand-in share.
+// Helpers for Flight messages, shared by the server, the engine client, the client and the stand-in.
 #pragma once
 
 #include <google/protobuf/any.pb.h>
@@ -16,7 +16,7 @@
 namespace flight = arrow::flight::protocol;
 namespace fsql = arrow::flight::protocol::sql;
 
-// A command as Flight SQL wraps it.
+// Serialises a command wrapped in a google.protobuf.Any, as Flight SQL requires.
 template <typename Command>
 std::string pack(const Command& command) {
   google::protobuf::Any any;
@@ -31,17 +31,17 @@
   return data.SerializeAsString();
 }
 
-// A descriptor for a command.
+// Returns a FlightDescriptor of type CMD that contains the command.
 template <typename Command>
 flight::FlightDescriptor descriptor_of(const Command& command) {
-  flight::FlightDescriptor out;
-  out.set_type(flight::FlightDescriptor::CMD);
-  out.set_cmd(pack(command));
-  return out;
+  flight::FlightDescriptor descriptor;
+  descriptor.set_type(flight::FlightDescriptor::CMD);
+  descriptor.set_cmd(pack(command));
+  return descriptor;
 }
 
-// "type.googleapis.com/a.b.Name" to "Name".
-inline std::string short_type(std::string_view url) {
+// Returns the last part of a type URL: "Name" for "type.googleapis.com/a.b.Name".
+inline std::string unqualified_type_name(std::string_view url) {
   const size_t dot = url.find_last_of("./");
   return std::string(dot == std::string_view::npos ? url : url.substr(dot + 1));
 }
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -10,34 +10,39 @@
 namespace sablelink::flightsql {
 namespace {
 
-constexpr size_t kEntryBytes = 256;  // what an entry takes beside its texts, about
+constexpr size_t kEntryOverheadBytes = 256;  // estimated memory of an entry without its strings
 
-size_t bytes_of(const PreparedStatements::Found& f) {
-  size_t bytes = kEntryBytes + f.statement.size();
-  for (const std::string& literal : f.literals) bytes += sizeof(std::string) + literal.size();
+size_t memory_bytes(const PreparedStatements::BoundStatement& bound) {
+  size_t bytes = kEntryOverheadBytes + bound.statement.size();
+  for (const std::string& literal : bound.literals) bytes += sizeof(std::string) + literal.size();
   return bytes;
 }
 
 }  // namespace
 
-PreparedStatements::Order::iterator* PreparedStatements::touch(TimeUs now, std::string_view handle) {
-  const auto it = entries_.find(std::string(handle));
-  if (it == entries_.end()) return nullptr;
+PreparedStatements::EntryList::iterator* PreparedStatements::find_and_mark_used(TimeUs now,
+                                                                                std::string_view handle) {
+  const auto it = entries_by_handle_.find(std::string(handle));
+  if (it == entries_by_handle_.end()) return nullptr;
   it->second->used_at = now;
-  order_.splice(order_.end(), order_, it->second);
+  entries_.splice(entries_.end(), entries_, it->second);
   return &it->second;
 }
 
-void PreparedStatements::erase(Order::iterator it) {
+void PreparedStatements::erase(EntryList::iterator it) {
   bytes_ -= it->bytes;
-  entries_.erase(it->handle);
-  order_.erase(it);
+  entries_by_handle_.erase(it->handle);
+  entries_.erase(it);
 }
 
-bool PreparedStatements::make_room(TimeUs now, size_t count, size_t bytes, const Entry* keep) {
-  while (entries_.size() + count > limits_.count || bytes_ + bytes > limits_.bytes) {
-    const auto oldest = order_.begin();
-    if (oldest == order_.end() || &*oldest == keep || now - oldest->used_at < limits_.idle_us) return false;
+bool PreparedStatements::ensure_capacity(TimeUs now, size_t added_count, size_t added_bytes,
+                                         const Entry* protected_entry) {
+  while (entries_by_handle_.size() + added_count > limits_.max_count ||
+         bytes_ + added_bytes > limits_.max_bytes) {
+    const auto oldest = entries_.begin();
+    if (oldest == entries_.end() || &*oldest == protected_entry ||
+        now - oldest->used_at < limits_.min_idle_us)
+      return false;
     erase(oldest);
   }
   return true;
@@ -45,50 +50,52 @@
 
 std::optional<std::string> PreparedStatements::create(TimeUs now, std::string_view statement) {
   Entry entry;
-  entry.value.statement = statement;
-  entry.bytes = bytes_of(entry.value);
-  if (!make_room(now, 1, entry.bytes, nullptr)) return std::nullopt;
-  const uint64_t tag = mix(handle_seed_ + ++last_);
-  entry.handle.assign(reinterpret_cast<const char*>(&last_), 8);
-  entry.handle.append(reinterpret_cast<const char*>(&tag), 8);
+  entry.bound.statement = statement;
+  entry.bytes = memory_bytes(entry.bound);
+  if (!ensure_capacity(now, 1, entry.bytes, nullptr)) return std::nullopt;
+  const uint64_t suffix = mix(handle_seed_ + ++last_id_);
+  entry.handle.assign(reinterpret_cast<const char*>(&last_id_), 8);
+  entry.handle.append(reinterpret_cast<const char*>(&suffix), 8);
   entry.used_at = now;
   bytes_ += entry.bytes;
-  order_.push_back(std::move(entry));
-  const auto it = std::prev(order_.end());
-  entries_[it->handle] = it;
+  entries_.push_back(std::move(entry));
+  const auto it = std::prev(entries_.end());
+  entries_by_handle_[it->handle] = it;
   return it->handle;
 }
 
 bool PreparedStatements::bind(TimeUs now, std::string_view handle, std::vector<std::string> literals) {
-  const auto* const it = touch(now, handle);
+  const auto* const it = find_and_mark_used(now, handle);
   if (it == nullptr) return false;
   Entry& entry = **it;
-  Found value{entry.value.statement, std::move(literals)};
-  const size_t bytes = bytes_of(value);
-  if (bytes > entry.bytes && !make_room(now, 0, bytes - entry.bytes, &entry)) return false;
+  BoundStatement bound{entry.bound.statement, std::move(literals)};
+  const size_t bytes = memory_bytes(bound);
+  if (bytes > entry.bytes && !ensure_capacity(now, 0, bytes - entry.bytes, &entry)) return false;
   bytes_ += bytes - entry.bytes;
   entry.bytes = bytes;
-  entry.value = std::move(value);
+  entry.bound = std::move(bound);
   return true;
 }
 
 bool PreparedStatements::close(std::string_view handle) {
-  const auto it = entries_.find(std::string(handle));
-  if (it == entries_.end()) return false;
+  const auto it = entries_by_handle_.find(std::string(handle));
+  if (it == entries_by_handle_.end()) return false;
   erase(it->second);
   return true;
 }
 
-std::optional<PreparedStatements::Found> PreparedStatements::find(TimeUs now, std::string_view handle) {
-  const auto* const it = touch(now, handle);
+std::optional<PreparedStatements::BoundStatement> PreparedStatements::find(TimeUs now,
+                                                                           std::string_view handle) {
+  const auto* const it = find_and_mark_used(now, handle);
   if (it == nullptr) return std::nullopt;
-  return (*it)->value;
+  return (*it)->bound;
 }
 
 namespace {
 
-// Days since 1970 to a date of the proleptic Gregorian calendar (Howard Hinnant's civil_from_days).
-void civil(int64_t days, int64_t& year, int& month, int& day) {
+// Converts days since 1970-01-01 to a date of the proleptic Gregorian calendar, by Howard Hinnant's algorithm
+// of the same name.
+void civil_from_days(int64_t days, int64_t& year, int& month, int& day) {
   days += 719468;
   const int64_t era = (days >= 0 ? days : days - 146096) / 146097;
   const auto doe = static_cast<int64_t>(days - era * 146097);
@@ -101,33 +108,33 @@
 }
 
 std::string timestamp_literal(int64_t value, arrowipc::TimeUnit unit, bool zoned) {
-  static constexpr int64_t kPerSecond[] = {1, 1'000, 1'000'000, 1'000'000'000};
+  static constexpr int64_t kUnitsPerSecond[] = {1, 1'000, 1'000'000, 1'000'000'000};
   static constexpr int kDigits[] = {0, 3, 6, 9};
-  const int64_t per = kPerSecond[static_cast<int>(unit)];
-  int64_t seconds = value / per;
-  int64_t rest = value % per;
-  if (rest < 0) {
-    rest += per;
+  const int64_t units_per_second = kUnitsPerSecond[static_cast<int>(unit)];
+  int64_t seconds = value / units_per_second;
+  int64_t fraction = value % units_per_second;
+  if (fraction < 0) {
+    fraction += units_per_second;
     --seconds;
   }
   int64_t days = seconds / 86400;
-  int64_t of_day = seconds % 86400;
-  if (of_day < 0) {
-    of_day += 86400;
+  int64_t second_of_day = seconds % 86400;
+  if (second_of_day < 0) {
+    second_of_day += 86400;
     --days;
   }
   int64_t year = 0;
   int month = 0;
   int day = 0;
-  civil(days, year, month, day);
+  civil_from_days(days, year, month, day);
   char text[96];
-  int n = std::snprintf(text, sizeof(text), "%04lld-%02d-%02d %02d:%02d:%02d", static_cast<long long>(year),
-                        month, day, static_cast<int>(of_day / 3600), static_cast<int>(of_day / 60 % 60),
-                        static_cast<int>(of_day % 60));
+  int length = std::snprintf(text, sizeof(text), "%04lld-%02d-%02d %02d:%02d:%02d",
+                             static_cast<long long>(year), month, day, static_cast<int>(second_of_day / 3600),
+                             static_cast<int>(second_of_day / 60 % 60), static_cast<int>(second_of_day % 60));
   if (kDigits[static_cast<int>(unit)] > 0)
-    n += std::snprintf(text + n, sizeof(text) - n, ".%0*lld", kDigits[static_cast<int>(unit)],
-                       static_cast<long long>(rest));
-  return "TIMESTAMP '" + std::string(text, n) + (zoned ? "+00'" : "'");
+    length += std::snprintf(text + length, sizeof(text) - length, ".%0*lld", kDigits[static_cast<int>(unit)],
+                            static_cast<long long>(fraction));
+  return "TIMESTAMP '" + std::string(text, length) + (zoned ? "+00'" : "'");
 }
 
 std::string hex_literal(std::string_view bytes) {
@@ -142,7 +149,7 @@
 
 }  // namespace
 
-std::string literal_of(const arrowipc::Field& field, const arrowipc::Array& column, int64_t row) {
+std::string to_sql_literal(const arrowipc::Field& field, const arrowipc::Array& column, int64_t row) {
   using arrowipc::Type;
   if (column.is_null(row)) return "NULL";
   switch (field.type) {
@@ -159,7 +166,7 @@
         throw arrowipc::FormatError("parameter '" + field.name + "' is not a finite number");
       char text[40];
       std::snprintf(text, sizeof(text), "%.17g", value);
-      // Without a point or exponent it would read as an integer.
+      // Without a decimal point or exponent, SQL would parse an integer.
       return std::strpbrk(text, ".eE") != nullptr ? text : std::string(text) + ".0";
     }
     case Type::kUtf8:
--- a/src/flightsql/prepared.h
+++ b/src/flightsql/prepared.h
@@ -1,5 +1,6 @@
-// Prepared statements of all clients, with the values bound to them. Bounded in number and bytes: the one
-// unused for longest makes room once it has been idle long enough, else a new one is refused.
+// Stores the prepared statements of all clients and the values bound to them. Number and memory are limited:
+// where a limit is reached, the least recently used statement is removed if it has been idle for long enough;
+// otherwise the new statement is rejected.
 #pragma once
 
 #include <cstdint>
@@ -18,51 +19,51 @@
 class PreparedStatements {
  public:
   struct Limits {
-    size_t count = 10'000;
-    size_t bytes = 64u << 20;
-    TimeUs idle_us = 600'000'000;
+    size_t max_count = 10'000;
+    size_t max_bytes = 64u << 20;      // estimated memory of all statements
+    TimeUs min_idle_us = 600'000'000;  // a statement is removed only after this time without use
   };
-  // handle_seed makes handles of one life differ from those of another.
+  // handle_seed makes the handles differ from those issued before a restart.
   PreparedStatements(const Limits& limits, uint64_t handle_seed)
       : limits_(limits), handle_seed_(handle_seed) {}
 
-  // The new statement's handle; none where there is no room.
+  // Returns the new statement's handle; nullopt where a limit is reached.
   std::optional<std::string> create(TimeUs now, std::string_view statement);
-  // Binds a row of literals; false: no such handle, or no room.
+  // Binds a row of literals. False where the handle is unknown or a limit is reached.
   bool bind(TimeUs now, std::string_view handle, std::vector<std::string> literals);
   bool close(std::string_view handle);
 
-  struct Found {
+  struct BoundStatement {
     std::string statement;
-    std::vector<std::string> literals;  // as bound last
+    std::vector<std::string> literals;  // bound most recently
   };
-  std::optional<Found> find(TimeUs now, std::string_view handle);
+  std::optional<BoundStatement> find(TimeUs now, std::string_view handle);
 
-  size_t size() const { return entries_.size(); }
+  size_t size() const { return entries_by_handle_.size(); }
   size_t bytes() const { return bytes_; }
 
  private:
   struct Entry {
     std::string handle;
-    Found value;
+    BoundStatement bound;
     size_t bytes = 0;
     TimeUs used_at = 0;
   };
-  using Order = std::list<Entry>;  // least recently used first
+  using EntryList = std::list<Entry>;  // least recently used first
 
-  Order::iterator* touch(TimeUs now, std::string_view handle);
-  bool make_room(TimeUs now, size_t count, size_t bytes, const Entry* keep);
-  void erase(Order::iterator it);
+  EntryList::iterator* find_and_mark_used(TimeUs now, std::string_view handle);
+  bool ensure_capacity(TimeUs now, size_t added_count, size_t added_bytes, const Entry* protected_entry);
+  void erase(EntryList::iterator it);
 
   const Limits limits_;
   const uint64_t handle_seed_;
-  uint64_t last_ = 0;
+  uint64_t last_id_ = 0;
   size_t bytes_ = 0;
-  Order order_;
-  std::unordered_map<std::string, Order::iterator> entries_;
+  EntryList entries_;
+  std::unordered_map<std::string, EntryList::iterator> entries_by_handle_;
 };
 
-// A value of a parameter batch as SQL literal. Throws FormatError for types that have none.
-std::string literal_of(const arrowipc::Field& field, const arrowipc::Array& column, int64_t row);
+// Returns a value of a parameter batch as an SQL literal. Throws FormatError for types that have no literals.
+std::string to_sql_literal(const arrowipc::Field& field, const arrowipc::Array& column, int64_t row);
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/terms.cpp
+++ b/src/flightsql/terms.cpp
@@ -11,17 +11,17 @@
 
 using rpc::Code;
 
-std::optional<double> usable(double value) {
+std::optional<double> valid_metric(double value) {
   return std::isfinite(value) && value >= 0 ? std::optional(value) : std::nullopt;
 }
 
-std::optional<double> named(const google::protobuf::Map<std::string, double>& map, const char* name) {
+std::optional<double> find_metric(const google::protobuf::Map<std::string, double>& map, const char* name) {
   const auto it = map.find(name);
-  return it == map.end() ? std::nullopt : usable(it->second);
+  return it == map.end() ? std::nullopt : valid_metric(it->second);
 }
 
-// Errors that any node would answer with: the statement, or who sent it, is at fault.
-bool is_statement_fault(Code code) {
+// Errors caused by the statement or its sender, which any node would return.
+bool is_statement_error_code(Code code) {
   switch (code) {
     case Code::kInvalidArgument:
     case Code::kNotFound:
@@ -44,17 +44,19 @@
   xds::data::orca::v3::OrcaLoadReport in;
   if (bytes.empty() || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return out;
   LoadReport load;
-  load.in_flight = named(in.named_metrics(), "held");
-  load.waiting_for_memory = named(in.named_metrics(), "waiting");
-  // Zero and missing look alike here, so a busy share counts only where something else is told as well.
-  if (in.cpu_utilization() > 0 || load.in_flight) load.cpu_utilization = usable(in.cpu_utilization());
-  if (in.mem_utilization() > 0 || load.in_flight) load.memory_utilization = usable(in.mem_utilization());
-  load.disk_utilization = named(in.utilization(), "disk");
+  load.in_flight = find_metric(in.named_metrics(), "held");
+  load.waiting_for_memory = find_metric(in.named_metrics(), "waiting");
+  // In these fields 0 can't be distinguished from a missing value, so 0 is used only where the report also
+  // has a value for the queries in flight.
+  if (in.cpu_utilization() > 0 || load.in_flight) load.cpu_utilization = valid_metric(in.cpu_utilization());
+  if (in.mem_utilization() > 0 || load.in_flight)
+    load.memory_utilization = valid_metric(in.mem_utilization());
+  load.disk_utilization = find_metric(in.utilization(), "disk");
   if (load.in_flight || load.waiting_for_memory || load.cpu_utilization || load.memory_utilization ||
       load.disk_utilization)
     out.load = load;
-  out.work_us = named(in.request_cost(), "work_us");
-  out.used_mb = named(in.request_cost(), "memory_mb");
+  out.work_us = find_metric(in.request_cost(), "work_us");
+  out.used_mb = find_metric(in.request_cost(), "memory_mb");
   return out;
 }
 
@@ -73,9 +75,9 @@
   return out.SerializeAsString();
 }
 
-TimeUs due_after(TimeUs patience_us, TimeUs margin_us) {
-  if (patience_us <= margin_us / 10) return 0;
-  return std::max(patience_us - margin_us, patience_us / 2);
+TimeUs response_time_limit(TimeUs client_timeout_us, TimeUs margin_us) {
+  if (client_timeout_us <= margin_us / 10) return 0;
+  return std::max(client_timeout_us - margin_us, client_timeout_us / 2);
 }
 
 rpc::Status make_error(Code code, std::string message) { return {code, std::move(message), ""}; }
@@ -110,7 +112,8 @@
       out.reason = info.reason();
     } else if (any.UnpackTo(&retry)) {
       const auto& delay = retry.retry_delay();
-      // Its stated range is some 10,000 years; a day is as good as for ever here.
+      // A protobuf Duration may be up to 10,000 years long; delays of more than a day make no difference
+      // here.
       const int64_t seconds = std::min<int64_t>(std::max<int64_t>(delay.seconds(), 0), 86'400);
       out.retry_after_us = seconds * 1'000'000 + std::max(delay.nanos(), 0) / 1000;
     }
@@ -136,24 +139,24 @@
     out.outcome = Outcome::kTimeout;
   } else if (end.status.code == Code::kCancelled ||
              (end.status.code == Code::kUnavailable && end.trailers.empty())) {
-    out.outcome = Outcome::kReset;  // made up on this side: the connection is gone
+    out.outcome = Outcome::kReset;  // a status made by this side's gRPC: the connection broke
   } else {
     out.outcome = Outcome::kError;
-    out.is_statement_error = is_statement_fault(end.status.code);
+    out.is_statement_error = is_statement_error_code(end.status.code);
   }
   return out;
 }
 
 namespace {
 
-std::string describe(const dispatch::FinalResponse& answer) {
+std::string final_response_message(const dispatch::FinalResponse& response) {
   using dispatch::CompletionReason;
   std::string text;
-  switch (answer.reason) {
+  switch (response.reason) {
     case CompletionReason::kCompleted:
       break;
     case CompletionReason::kPolicyDecision:
-      text = answer.status == dispatch::RequestStatus::kRejected
+      text = response.status == dispatch::RequestStatus::kRejected
                  ? "refused: no node can serve this in time; trying again is harmless"
                  : "failed: the request may have run";
       break;
@@ -167,23 +170,23 @@
       text = "refused: the gateway is stopping";
       break;
     case CompletionReason::kStatementError:
-      return answer.error.message;
+      return response.error.message;
     case CompletionReason::kStreamInterrupted:
       text = "failed: the answer broke off after its start";
       break;
     case CompletionReason::kDeadlineExceeded:
-      text = answer.status == dispatch::RequestStatus::kRejected
+      text = response.status == dispatch::RequestStatus::kRejected
                  ? "refused: the request's time is up; it was not sent to a node"
                  : "failed: the request's time is up; it may have run";
       break;
   }
-  if (answer.error.code != 0)
-    text += "; last from a node: " + std::string(rpc::code_name(static_cast<Code>(answer.error.code))) + " " +
-            answer.error.message;
+  if (response.error.code != 0)
+    text += "; last from a node: " + std::string(rpc::code_name(static_cast<Code>(response.error.code))) +
+            " " + response.error.message;
   return text;
 }
 
-std::string detail_reason(dispatch::CompletionReason reason) {
+std::string error_info_reason(dispatch::CompletionReason reason) {
   std::string name = dispatch::completion_reason_name(reason);
   for (char& c : name) c = c == '-' ? '_' : static_cast<char>(std::toupper(static_cast<unsigned char>(c)));
   return name;
@@ -191,28 +194,28 @@
 
 }  // namespace
 
-ClientEnd map_final_answer(const dispatch::FinalResponse& answer) {
+ClientCallResult map_final_response(const dispatch::FinalResponse& response) {
   using dispatch::CompletionReason;
   using dispatch::RequestStatus;
-  ClientEnd out;
-  out.trailers.emplace_back(kVerdictKey, dispatch::request_status_name(answer.status));
-  out.trailers.emplace_back(kReasonKey, dispatch::completion_reason_name(answer.reason));
-  out.trailers.emplace_back(kAttemptsKey, std::to_string(answer.attempts));
-  if (answer.status == RequestStatus::kServed) return out;
-  if (answer.reason == CompletionReason::kStatementError) {
-    out.status = make_error(static_cast<Code>(answer.error.code), describe(answer));
+  ClientCallResult out;
+  out.trailers.emplace_back(kVerdictKey, dispatch::request_status_name(response.status));
+  out.trailers.emplace_back(kReasonKey, dispatch::completion_reason_name(response.reason));
+  out.trailers.emplace_back(kAttemptsKey, std::to_string(response.attempts));
+  if (response.status == RequestStatus::kServed) return out;
+  if (response.reason == CompletionReason::kStatementError) {
+    out.status = make_error(static_cast<Code>(response.error.code), final_response_message(response));
     return out;
   }
-  // UNAVAILABLE tells clients that trying again is harmless; UNKNOWN promises nothing.
+  // UNAVAILABLE means that clients may safely retry; UNKNOWN doesn't say whether the statement was executed.
   Code code = Code::kUnknown;
-  if (answer.status == RequestStatus::kRejected)
+  if (response.status == RequestStatus::kRejected)
     code = Code::kUnavailable;
-  else if (answer.reason == CompletionReason::kDeadlineExceeded)
+  else if (response.reason == CompletionReason::kDeadlineExceeded)
     code = Code::kDeadlineExceeded;
-  out.status =
-      make_error(code, describe(answer), "sablelink", detail_reason(answer.reason), answer.retry_after_us);
-  if (answer.retry_after_us > 0)
-    out.trailers.emplace_back(kPushbackKey, std::to_string((answer.retry_after_us + 999) / 1000));
+  out.status = make_error(code, final_response_message(response), "sablelink",
+                          error_info_reason(response.reason), response.retry_after_us);
+  if (response.retry_after_us > 0)
+    out.trailers.emplace_back(kPushbackKey, std::to_string((response.retry_after_us + 999) / 1000));
   return out;
 }
 
--- a/src/flightsql/terms.h
+++ b/src/flightsql/terms.h
@@ -1,5 +1,6 @@
-// Names of what travels beside the messages: metadata from a gateway to a node, trailers back. Nodes that
-// don't know the gateway's own names pass them over.
+// The metadata and trailers of calls between clients, gateways and nodes, and the conversions between gRPC
+// statuses, load reports and the dispatcher's results. Nodes may ignore the metadata that begins with
+// "x-sablelink-".
 #pragma once
 
 #include <charconv>
@@ -17,28 +18,30 @@
 
 inline constexpr std::string_view kServicePrefix = "/arrow.flight.protocol.FlightService/";
 
-// Gateway to node.
-inline constexpr std::string_view kRequestKey = "x-sablelink-request";    // gateway, its start, request
-inline constexpr std::string_view kAttemptKey = "x-sablelink-attempt";    // 0, 1, ...
+// Metadata sent by a gateway to a node.
+inline constexpr std::string_view kRequestKey = "x-sablelink-request";    // "GATEWAY/INCARNATION/REQUEST"
+inline constexpr std::string_view kAttemptKey = "x-sablelink-attempt";    // number of the attempt, from 0
 inline constexpr std::string_view kPriorityKey = "x-sablelink-priority";  // 0 to 3
 inline constexpr std::string_view kGrantKey = "x-sablelink-grant-mb";
-inline constexpr std::string_view kAllowKey = "x-sablelink-allow-us";  // the attempt's time
-// Client to gateway to node: the client's own name for its request.
+inline constexpr std::string_view kAllowKey = "x-sablelink-allow-us";  // time-out of the attempt
+// Metadata by which a client names its request; the gateway forwards it to the node.
 inline constexpr std::string_view kClientTagKey = "x-request-id";
 
-// A planning call is no client's: its name begins so, and a line of the log, at the moment when it is made,
-// tells it as "tag".
+// The gateway itself makes planning calls: their kClientTagKey begins with kPlanTag, and the log has it as
+// the field "tag" of the event kPlanEvent when the call is started.
 inline constexpr std::string_view kPlanTag = "plan:";
 inline constexpr std::string_view kPlanEvent = "planning";
 
-// Gateway to client, in trailers.
+// Trailers sent by a gateway to a client.
 inline constexpr std::string_view kVerdictKey = "x-sablelink-verdict";
 inline constexpr std::string_view kReasonKey = "x-sablelink-reason";
 inline constexpr std::string_view kAttemptsKey = "x-sablelink-attempts";
-inline constexpr std::string_view kSchemaKey = "x-sablelink-schema";  // "changed": not the one promised
+// "changed" where the response's schema differs from the FlightInfo's.
+inline constexpr std::string_view kSchemaKey = "x-sablelink-schema";
 inline constexpr std::string_view kPushbackKey = "grpc-retry-pushback-ms";
 
-// The number that a key's value is; the fallback where there is none or it isn't one.
+// Parses a key's value as a number; returns the fallback where the key is missing or its value isn't a
+// number.
 template <typename T>
 T find_number(const rpc::Metadata& metadata, std::string_view key, T fallback) {
   const std::string_view text = rpc::find_value(metadata, key);
@@ -47,49 +50,51 @@
   return error == std::errc() && end == text.data() + text.size() ? value : fallback;
 }
 
-// Node to gateway, in trailers: an ORCA load report.
+// Trailer sent by a node to a gateway: an ORCA load report.
 inline constexpr std::string_view kLoadReportKey = "endpoint-load-metrics-bin";
 
-// The ErrorInfo by which a node proves that it has run nothing of the call.
+// The ErrorInfo by which a node guarantees that it hasn't executed any part of the call.
 inline constexpr std::string_view kNodeDomain = "sablelink.node";
 inline constexpr std::string_view kNotAdmitted = "NOT_ADMITTED";
 
-// What an ORCA report tells of a node and of the query just answered. Names used in it: utilization "disk",
-// named metrics "held" and "waiting", request costs "work_us" and "memory_mb".
+// The parts of an ORCA load report that are used here: the load of the node, and the cost of the query that
+// has completed. Keys: "disk" in utilization, "held" and "waiting" in named_metrics, "work_us" and
+// "memory_mb" in request_cost.
 struct NodeReport {
   std::optional<LoadReport> load;
   std::optional<double> work_us;
   std::optional<double> used_mb;
 };
-// Nothing for bytes that aren't a report; values that aren't finite or below 0 are left out.
+// Returns an empty report for invalid bytes; values that are negative or not finite are omitted.
 NodeReport decode_report(std::string_view bytes);
 std::string encode_report(const NodeReport& report);
 
-// When a request that came now must have its answer on the way: the client's patience less the margin that
-// the way back takes, but never less than half of it. 0, at once, where the patience is a tenth of the margin
-// or less: whatever is waited for, the client would be gone.
-TimeUs due_after(TimeUs patience_us, TimeUs margin_us);
+// The time within which a request must be answered so that the response reaches the client before its
+// time-out: the time-out less the margin, which allows for the transmission of the response, but at least
+// half of the time-out. 0 where the time-out is at most a tenth of the margin: any response would reach the
+// client too late.
+TimeUs response_time_limit(TimeUs client_timeout_us, TimeUs margin_us);
 
 rpc::Status make_error(rpc::Code code, std::string message);
-// With an ErrorInfo of the domain and reason, and a RetryInfo where the time is over 0.
+// Adds an ErrorInfo with the domain and reason, and a RetryInfo where retry_after_us is positive.
 rpc::Status make_error(rpc::Code code, std::string message, std::string_view domain, std::string_view reason,
                        TimeUs retry_after_us = 0);
-// The details of an error as far as they are known here.
+// The details of an error status that are used here.
 struct ErrorDetails {
   std::string domain, reason;
   std::optional<TimeUs> retry_after_us;
 };
 ErrorDetails read_details(const rpc::Status& status);
 
-// How an attempt's call ended, as an outcome. Proof that nothing ran is only a node's own NOT_ADMITTED; where
-// no connection was had there is no call.
+// Converts the end of an attempt's call. Only a NOT_ADMITTED from the node itself proves that nothing was
+// executed. Attempts for which no connection could be made have no call and aren't converted here.
 dispatch::AttemptResult map_call_end(const rpc::CallResult& end);
 
-// The final answer as the client's call sees it.
-struct ClientEnd {
+// Status and trailers that end the client's call.
+struct ClientCallResult {
   rpc::Status status;
   rpc::Metadata trailers;
 };
-ClientEnd map_final_answer(const dispatch::FinalResponse& answer);
+ClientCallResult map_final_response(const dispatch::FinalResponse& response);
 
 }  // namespace sablelink::flightsql
--- a/src/flightsql/tickets.cpp
+++ b/src/flightsql/tickets.cpp
@@ -10,75 +10,76 @@
 namespace sablelink::flightsql {
 namespace {
 
-// Layout: mark, life (8 bytes), seal (16 bytes), the serialised TicketBody.
-constexpr std::string_view kMark = "SLT1";
-constexpr size_t kHeadBytes = 4 + 8 + 16;
+// Layout: magic (4 bytes), incarnation (8 bytes), checksum (16 bytes), serialised TicketBody.
+constexpr std::string_view kMagic = "SLT1";
+constexpr size_t kHeaderBytes = 4 + 8 + 16;
 
 }  // namespace
 
-const char* ticket_fault_text(TicketFault fault) {
+const char* ticket_fault_message(TicketFault fault) {
   switch (fault) {
     case TicketFault::kNone:
       return "the ticket is good";
     case TicketFault::kMalformed:
       return "the statement handle is none that a gateway gives out";
-    case TicketFault::kForeign:
+    case TicketFault::kOtherIncarnation:
       return "the ticket is of another gateway or of this one before its restart; ask for a new FlightInfo";
-    case TicketFault::kForged:
+    case TicketFault::kModified:
       return "the ticket has been changed since it was given out";
   }
   return "";
 }
 
-std::array<uint64_t, 2> TicketOffice::seal(std::string_view body) const {
-  const XXH128_hash_t hash = XXH3_128bits_withSeed(body.data(), body.size(), secret_ ^ life_);
+std::array<uint64_t, 2> TicketOffice::checksum(std::string_view body) const {
+  const XXH128_hash_t hash = XXH3_128bits_withSeed(body.data(), body.size(), secret_ ^ incarnation_);
   return {hash.low64, hash.high64};
 }
 
-std::string TicketOffice::issue(std::string_view statement, uint64_t promised) {
+std::string TicketOffice::issue(std::string_view statement, uint64_t announced_schema_hash) {
   wire::TicketBody body;
-  body.set_serial(++last_);
+  body.set_serial(++last_serial_);
   body.set_statement(std::string(statement));
-  body.set_promised(promised);
-  used_[last_ % kRemembered] = false;
+  body.set_promised(announced_schema_hash);
+  used_[last_serial_ % kTrackedTickets] = false;
   const std::string bytes = body.SerializeAsString();
-  const std::array<uint64_t, 2> sealed = seal(bytes);
-  std::string ticket(kMark);
-  ticket.append(reinterpret_cast<const char*>(&life_), 8);
-  ticket.append(reinterpret_cast<const char*>(sealed.data()), 16);
+  const std::array<uint64_t, 2> body_checksum = checksum(bytes);
+  std::string ticket(kMagic);
+  ticket.append(reinterpret_cast<const char*>(&incarnation_), 8);
+  ticket.append(reinterpret_cast<const char*>(body_checksum.data()), 16);
   return ticket + bytes;
 }
 
 OpenedTicket TicketOffice::open(std::string_view ticket) const {
-  OpenedTicket out;
-  out.fault = TicketFault::kMalformed;
-  if (ticket.size() < kHeadBytes || ticket.substr(0, 4) != kMark) return out;
-  uint64_t life = 0;
-  std::array<uint64_t, 2> sealed;
-  std::memcpy(&life, ticket.data() + 4, 8);
-  std::memcpy(sealed.data(), ticket.data() + 12, 16);
-  const std::string_view bytes = ticket.substr(kHeadBytes);
-  if (life != life_) {
-    out.fault = TicketFault::kForeign;
-    return out;
+  OpenedTicket opened;
+  opened.fault = TicketFault::kMalformed;
+  if (ticket.size() < kHeaderBytes || ticket.substr(0, 4) != kMagic) return opened;
+  uint64_t incarnation = 0;
+  std::array<uint64_t, 2> stored_checksum;
+  std::memcpy(&incarnation, ticket.data() + 4, 8);
+  std::memcpy(stored_checksum.data(), ticket.data() + 12, 16);
+  const std::string_view bytes = ticket.substr(kHeaderBytes);
+  if (incarnation != incarnation_) {
+    opened.fault = TicketFault::kOtherIncarnation;
+    return opened;
   }
   wire::TicketBody body;
-  if (seal(bytes) != sealed || !body.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) ||
-      body.serial() == 0 || body.serial() > last_) {
-    out.fault = TicketFault::kForged;
-    return out;
+  if (checksum(bytes) != stored_checksum ||
+      !body.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || body.serial() == 0 ||
+      body.serial() > last_serial_) {
+    opened.fault = TicketFault::kModified;
+    return opened;
   }
-  out.fault = TicketFault::kNone;
-  out.serial = body.serial();
-  out.statement = body.statement();
-  out.promised = body.promised();
-  return out;
+  opened.fault = TicketFault::kNone;
+  opened.serial = body.serial();
+  opened.statement = body.statement();
+  opened.announced_schema_hash = body.promised();
+  return opened;
 }
 
 bool TicketOffice::first_use(uint64_t serial) {
-  if (serial + kRemembered <= last_) return false;
-  const bool first = !used_[serial % kRemembered];
-  used_[serial % kRemembered] = true;
+  if (serial + kTrackedTickets <= last_serial_) return false;
+  const bool first = !used_[serial % kTrackedTickets];
+  used_[serial % kTrackedTickets] = true;
   return first;
 }
 
--- a/src/flightsql/tickets.h
+++ b/src/flightsql/tickets.h
@@ -1,6 +1,7 @@
-// Tickets that carry their statement, so that one handed out costs the gateway no memory. A ticket is bound
-// to one life of one gateway by a seal; the seal finds mistakes and tampering, it is no defence against a
-// client that means to run another statement, which it may run anyway.
+// Issues and reads tickets. A ticket contains its statement, so that an issued ticket takes no memory in the
+// gateway. It is valid only at the gateway that issued it, until that gateway restarts. Its checksum detects
+// corruption and modification; it doesn't protect against attacks, as a client may run any other statement
+// anyway.
 #pragma once
 
 #include <array>
@@ -11,37 +12,41 @@
 
 namespace sablelink::flightsql {
 
-enum class TicketFault { kNone, kMalformed, kForeign, kForged };
-// What is wrong, for the client's eyes.
-const char* ticket_fault_text(TicketFault fault);
+enum class TicketFault { kNone, kMalformed, kOtherIncarnation, kModified };
+// The error message for the client.
+const char* ticket_fault_message(TicketFault fault);
 
 struct OpenedTicket {
   TicketFault fault = TicketFault::kNone;
   uint64_t serial = 0;
   std::string statement;
-  uint64_t promised = 0;  // as it was issued with
+  uint64_t announced_schema_hash = 0;  // as given to issue()
 };
 
 class TicketOffice {
  public:
-  // Two random numbers of this gateway's start: the first is told in every ticket, the second never.
-  TicketOffice(uint64_t life, uint64_t secret) : life_(life), secret_(secret), used_(kRemembered, false) {}
-
-  // promised: a hash of the schema told along with the ticket; 0: none.
-  std::string issue(std::string_view statement, uint64_t promised = 0);
+  // Both are random numbers drawn when the gateway starts. Every ticket contains incarnation; secret is never
+  // sent.
+  TicketOffice(uint64_t incarnation, uint64_t secret)
+      : incarnation_(incarnation), secret_(secret), used_(kTrackedTickets, false) {}
+
+  // announced_schema_hash: hash of the result schema that the FlightInfo with the ticket contains; 0 for
+  // none.
+  std::string issue(std::string_view statement, uint64_t announced_schema_hash = 0);
   OpenedTicket open(std::string_view ticket) const;
 
-  // True for a ticket's first use. Remembers the last 2^20 tickets; of older ones each use counts as further.
+  // True for the first use of a ticket. Only the latest 2^20 tickets are tracked; for older ones it is always
+  // false.
   bool first_use(uint64_t serial);
 
  private:
-  static constexpr size_t kRemembered = size_t{1} << 20;
+  static constexpr size_t kTrackedTickets = size_t{1} << 20;
 
-  std::array<uint64_t, 2> seal(std::string_view body) const;
+  std::array<uint64_t, 2> checksum(std::string_view body) const;
 
-  uint64_t life_, secret_;
-  uint64_t last_ = 0;
-  std::vector<bool> used_;  // by serial modulo its size
+  uint64_t incarnation_, secret_;
+  uint64_t last_serial_ = 0;
+  std::vector<bool> used_;  // by serial modulo kTrackedTickets
 };
 
 }  // namespace sablelink::flightsql
