--- a/src/rpc/asio_loop.cpp
+++ b/src/rpc/asio_loop.cpp
@@ -17,12 +17,12 @@
 void AsioLoop::arm_timer() {
   if (timers_.empty()) return;
   const TimeUs earliest = timers_.next_deadline();
-  if (armed_for_ && *armed_for_ <= earliest) return;
-  armed_for_ = earliest;
+  if (timer_expires_at_ && *timer_expires_at_ <= earliest) return;
+  timer_expires_at_ = earliest;
   timer_.expires_at(clock_.to_steady(earliest));
   timer_.async_wait([this](const boost::system::error_code& error) {
-    if (error) return;  // armed again, for an earlier moment
-    armed_for_.reset();
+    if (error) return;  // cancelled, as the timer was set again to expire earlier
+    timer_expires_at_.reset();
     timers_.run_due(now());
     arm_timer();
   });
--- a/src/rpc/asio_loop.h
+++ b/src/rpc/asio_loop.h
@@ -1,5 +1,6 @@
-// A strand, its clock and the wait for its sockets on one thread: the thread that calls run(). Code on the
-// loop needs no locks, and nothing changes threads between a socket and the code that uses it.
+// An event loop that runs a strand, its clock and its sockets on one thread, the one that calls run(). Code
+// on the loop needs no locks, and data is never passed between threads on its way between a socket and the
+// code that uses it.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -17,7 +18,8 @@
 
 namespace sablelink::rpc {
 
-/// All methods but post() and stop() belong on the loop's thread, or are called while the loop doesn't run.
+/// post() and stop() may be called from any thread, the other methods only on the loop's thread or while the
+/// loop isn't running.
 class AsioLoop : public Clock {
  public:
   AsioLoop(const WallClock& wall, SteadyClock steady);
@@ -27,13 +29,13 @@
   TimeUs now() const override { return clock_.now(); }
   void call_after(TimeUs delay_us, std::function<void()> fn) override;
 
-  /// Runs until stop(). May be called again afterwards.
+  /// Runs until stop() is called. May be called again afterwards.
   void run();
-  /// Runs what is ready, without waiting.
+  /// Runs the handlers that are ready, without waiting.
   void poll();
-  /// From any thread.
+  /// May be called from any thread.
   void stop() { context_.stop(); }
-  /// Runs fn on the loop; from any thread.
+  /// Schedules fn on the loop; may be called from any thread.
   template <typename Fn>
   void post(Fn fn) {
     boost::asio::post(context_, std::move(fn));
@@ -46,7 +48,7 @@
   boost::asio::io_context context_{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
   boost::asio::steady_timer timer_;
-  std::optional<TimeUs> armed_for_;  // the moment at which timer_ expires
+  std::optional<TimeUs> timer_expires_at_;
   TimerHeap timers_;
 };
 
--- a/src/rpc/byte_stream.h
+++ b/src/rpc/byte_stream.h
@@ -1,9 +1,9 @@
-// The interface between protocols that work on bytes, such as HTTP, and what carries these: a connection with
-// an ordered stream of bytes each way. Boundaries between writes aren't preserved. tcp_socket.h implements it
-// on sockets, sim/streams.h in simulated worlds; tests/stream_test.cpp covers both.
+// Interface of connections with an ordered stream of bytes in each direction, for protocols on byte streams
+// such as HTTP. Boundaries between writes aren't preserved. tcp_socket.h implements it on TCP sockets,
+// sim/streams.h in the simulation; tests/stream_test.cpp covers both.
 //
-// Every method is called, and every awaited result arrives, on the strand given at construction. At most one
-// read and one write of a stream may be in flight.
+// Every method must be called on the strand given at construction, and coroutines are resumed there. At most
+// one read and one write of a stream may be in flight.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -20,29 +20,30 @@
 
 class ByteStream {
  public:
-  /// As close().
+  /// Does the same as close().
   virtual ~ByteStream() = default;
 
-  /// Returns 1 to max_bytes bytes as soon as there are any, an empty string at the end of the stream, and
-  /// none where the connection is broken or closed.
+  /// Waits for data and returns 1 to max_bytes bytes. Returns an empty string at the end of the stream, and
+  /// nullopt where the connection is broken or closed.
   virtual Awaitable<std::optional<std::string>> read(size_t max_bytes) = 0;
-  /// Writes as many of the first bytes as there is room for and returns their number; 0 where the connection
-  /// is broken or closed. The bytes must stay valid until then.
+  /// Waits until some of the bytes can be written, from the first on, and returns their number. Returns 0
+  /// where the connection is broken or closed. The bytes must stay valid until it returns.
   virtual Awaitable<size_t> write(std::string_view bytes) = 0;
-  /// A read would complete at once, with bytes, the end of the stream or an error.
+  /// Whether a read would complete at once, with data, the end of the stream or an error.
   virtual bool readable() const = 0;
-  /// The peer has ended its stream or the connection is broken. Bytes received before may still be unread.
+  /// Whether the peer has ended its stream or the connection is broken. Data received before may still be
+  /// unread.
   virtual bool peer_closed() const = 0;
-  /// Ends the stream to the peer. What was written before is delivered, and reading goes on.
+  /// Ends the stream to the peer. Data written before is still delivered, and reads continue to work.
   virtual void shutdown_write() = 0;
-  /// Closes the connection; reads and writes in flight complete. After shutdown_write() what was written is
-  /// still delivered; otherwise the peer's connection breaks, and what was written may be lost.
+  /// Closes the connection; reads and writes in flight complete. After shutdown_write() the data written is
+  /// still delivered; otherwise the connection is reset, and data written may be lost.
   virtual void close() = 0;
-  /// As close(), but the peer's connection always breaks at once, and nothing is kept for it.
+  /// Like close(), but always resets the connection at once and discards data that isn't delivered.
   virtual void reset() = 0;
 };
 
-/// Writes everything; false where the connection broke before.
+/// Writes all bytes; false where the connection breaks before.
 inline Awaitable<bool> write_all(ByteStream& stream, std::string bytes) {
   std::string_view remaining = bytes;
   while (!remaining.empty()) {
@@ -57,20 +58,20 @@
 
 struct ConnectResult {
   ConnectStatus status = ConnectStatus::kFailed;
-  std::shared_ptr<ByteStream> stream;  // nullptr unless connected
+  std::shared_ptr<ByteStream> stream;  // nullptr unless the status is kConnected
 };
 
-/// Makes connections.
+/// Opens connections.
 class Dialer {
  public:
   virtual ~Dialer() = default;
-  /// Of the strand that the streams belong to.
+  /// The executor of the strand to which the streams belong.
   virtual boost::asio::any_io_executor executor() const = 0;
   /// address: "host:port".
   virtual Awaitable<ConnectResult> connect(std::string address, TimeUs timeout_us) = 0;
 };
 
-/// Serves one accepted connection; called on the strand.
+/// Serves one accepted connection. Called on the strand.
 using StreamHandler = std::function<Awaitable<void>(std::shared_ptr<ByteStream>)>;
 
 }  // namespace sablelink::rpc
--- a/src/rpc/completion_tag.h
+++ b/src/rpc/completion_tag.h
@@ -1,5 +1,5 @@
-// Connects gRPC's completion queue with coroutines: a coroutine that awaits an operation is resumed on the
-// loop's thread, where the operation's completion is taken from the queue.
+// Connects gRPC's completion queue with coroutines: the loop's thread takes completions from the queue and
+// resumes the coroutines that await them.
 #pragma once
 
 #include <grpcpp/support/byte_buffer.h>
@@ -17,18 +17,21 @@
 
 namespace sablelink::rpc {
 
-/// Identifies an operation in the completion queue. Exactly one of complete() and abandon() is called, and
-/// destroys the tag: on the loop's thread, or, where that has ended, on the thread that destroys the loop.
+/// Identifies an operation in the completion queue. Exactly one of complete() and abandon() is called, and it
+/// destroys the tag. The call is made on the loop's thread, or, once that has ended, on the thread that
+/// destroys the loop.
 class CompletionTag {
  public:
   virtual ~CompletionTag() = default;
-  /// ok: as gRPC defines it for the operation.
+  /// ok: the operation's result; gRPC defines its meaning for each kind of operation.
   virtual void complete(bool ok) = 0;
-  /// The loop is destroyed; whoever awaits the operation is dropped.
+  /// Called where the loop is destroyed or the operation never completes: the awaiting coroutine isn't
+  /// resumed.
   virtual void abandon() { delete this; }
 
-  // gRPC hands a tag from thread to thread in ways that the thread sanitizer doesn't see in a library built
-  // without it. This pair, called before gRPC gets the tag and after it returns it, shows it the order.
+  // gRPC passes a tag between threads in ways that ThreadSanitizer can't see where the library was built
+  // without it. These two methods, called before the tag is given to gRPC and after gRPC returns it, make the
+  // order visible to ThreadSanitizer.
   CompletionTag* hand_to_grpc() {
     handed_over_.store(true, std::memory_order_release);
     return this;
@@ -42,7 +45,7 @@
   std::atomic<bool> handed_over_{false};
 };
 
-/// Calls a function with the operation's ok.
+/// A tag that calls a function with the operation's result.
 template <typename Callback>
 class CallbackTag : public CompletionTag {
  public:
@@ -57,10 +60,11 @@
   Callback callback_;
 };
 
-/// Calls start with a tag and returns the ok of the operation that it starts. owner stays alive until then.
+/// Calls start, which starts an operation with the given tag, and returns the operation's result. owner is
+/// kept alive until the operation has completed.
 ///
-/// Not a coroutine itself, and callers that are coroutines must name start before: GCC 12 destroys a lambda
-/// twice that is a temporary of a co_await expression.
+/// This isn't a coroutine itself, and coroutines must pass a named variable as start: GCC 12 destroys a
+/// lambda twice where it is a temporary in a co_await expression.
 template <typename Start>
 Awaitable<bool> await_completion(std::shared_ptr<void> owner, Start start) {
   return boost::asio::async_initiate<const boost::asio::use_awaitable_t<>, void(bool)>(
@@ -74,7 +78,7 @@
       boost::asio::use_awaitable);
 }
 
-/// The bytes of a message; empty where the buffer is invalid.
+/// Returns the bytes of a message; empty where the buffer is invalid.
 inline std::string to_string(const grpc::ByteBuffer& buffer) {
   std::vector<grpc::Slice> slices;
   std::string bytes;
--- a/src/rpc/epoch_clock.h
+++ b/src/rpc/epoch_clock.h
@@ -1,4 +1,4 @@
-// Microseconds since 1970 that never run back.
+// A monotonic clock in microseconds since 1970-01-01.
 #pragma once
 
 #include <chrono>
@@ -9,8 +9,8 @@
 
 namespace sablelink::rpc {
 
-/// Reads the wall clock once, at its construction, and advances by the steady clock. now() may be called from
-/// any thread.
+/// Reads the wall clock once, at construction, and then advances with the steady clock, so that it never runs
+/// backwards. now() may be called from any thread.
 class EpochClock {
  public:
   EpochClock(const WallClock& wall, SteadyClock steady)
--- a/src/rpc/grpc_client.cpp
+++ b/src/rpc/grpc_client.cpp
@@ -13,10 +13,11 @@
 namespace sablelink::rpc {
 namespace {
 
-constexpr int kConnectAttemptMs = 1000;
+constexpr int kConnectAttemptTimeoutMs = 1000;
 constexpr int kMaxBackoffFactor = 10;
 
-// Outlives the call's handle until gRPC has completed all of its operations.
+// Kept alive until gRPC has completed all operations of the call, even where the GrpcClientCall is destroyed
+// before.
 struct CallState {
   grpc::ClientContext context;
   std::unique_ptr<grpc::GenericClientAsyncReaderWriter> stream;
@@ -93,12 +94,12 @@
   std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs timeout_us) override {
     auto state = std::make_shared<CallState>();
     for (const auto& [key, value] : metadata) state->context.AddMetadata(key, value);
-    state->context.set_initial_metadata_corked(true);  // goes out with the first message
+    state->context.set_initial_metadata_corked(true);  // sent with the first message
     if (timeout_us > 0) {
       state->context.set_deadline(loop_.wall()() + std::chrono::microseconds(timeout_us));
     }
     state->stream = stub_.PrepareCall(&state->context, method, loop_.queue());
-    state->stream->StartCall(nullptr);  // no tag is returned, as nothing is sent yet
+    state->stream->StartCall(nullptr);  // without a tag, as nothing is sent yet
     return std::make_unique<GrpcClientCall>(std::move(state));
   }
 
@@ -117,14 +118,14 @@
   grpc::ChannelArguments args;
   args.SetMaxReceiveMessageSize(options_.max_message_bytes);
   args.SetMaxSendMessageSize(-1);
-  args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);             // retries are decided elsewhere
-  args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // channels share no connections
+  args.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);             // gRPC must not retry calls on its own
+  args.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);  // a connection for each channel
   const int backoff_ms = static_cast<int>(options_.reconnect_backoff_us / 1000);
   args.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, backoff_ms);
-  args.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS,
-              kConnectAttemptMs);  // gRPC limits a connection attempt by it
+  // gRPC also uses this as the time-out of a connection attempt.
+  args.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kConnectAttemptTimeoutMs);
   args.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxBackoffFactor * backoff_ms);
-  args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);  // or the environment would choose a proxy
+  args.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);  // otherwise environment variables could set a proxy
   return std::make_unique<GrpcChannel>(
       grpc::CreateCustomChannel(address, grpc::InsecureChannelCredentials(), args), loop_);
 }
--- a/src/rpc/grpc_client.h
+++ b/src/rpc/grpc_client.h
@@ -1,4 +1,4 @@
-// Channels to servers on gRPC, without encryption.
+// gRPC channels to servers, without encryption.
 #pragma once
 
 #include <memory>
@@ -11,10 +11,10 @@
 
 struct GrpcClientOptions {
   int max_message_bytes = 16 << 20;
-  TimeUs reconnect_backoff_us = 100'000;  // after a failed connection; grows to ten times this
+  TimeUs reconnect_backoff_us = 100'000;  // initial backoff; the maximum is ten times as long
 };
 
-/// Makes channels that belong to one loop, which must outlive them.
+/// Creates channels that belong to one loop, which must outlive them.
 class GrpcChannelFactory : public ChannelFactory {
  public:
   GrpcChannelFactory(const GrpcClientOptions& options, GrpcLoop& loop);
--- a/src/rpc/grpc_loop.cpp
+++ b/src/rpc/grpc_loop.cpp
@@ -8,13 +8,13 @@
 namespace sablelink::rpc {
 namespace {
 
-// gRPC waits in steps of a millisecond. For a call that is due sooner than this, the queue is polled without
-// waiting.
-constexpr TimeUs kBusyPollUs = 100;
+// gRPC waits in steps of a millisecond, so the queue is polled without waiting where a timer expires within
+// this time.
+constexpr TimeUs kPollThresholdUs = 100;
 
 }  // namespace
 
-// Completes when the alarm expires, which brings the loop's thread out of its wait.
+// Completes when the alarm expires, which ends the wait of the loop's thread.
 class GrpcLoop::WakeUpTag : public CompletionTag {
  public:
   explicit WakeUpTag(std::atomic<bool>& pending) : pending_(pending) {}
@@ -41,8 +41,8 @@
   stopping_ = true;
   wake_up();
   thread_.join();
-  // Only now, as a queue that is shut down takes no alarm: the loop's thread could see stopping_ and shut the
-  // queue down before wake_up() sets the alarm.
+  // The loop's thread must not shut the queue down itself: it could see stopping_ and do so before wake_up()
+  // sets the alarm, and alarms can't be set on a queue that is shut down.
   queue_->Shutdown();
   void* tag = nullptr;
   bool ok = false;
@@ -66,19 +66,20 @@
   done.get_future().wait();
 }
 
-// Sets an alarm that is due at once. One at a time is enough: the flag is cleared before the loop's thread
-// looks for posted work.
+// Sets an alarm that expires at once. One pending alarm is enough, as the flag is cleared before the loop's
+// thread runs posted work.
 void GrpcLoop::wake_up() {
   if (wake_up_pending_.exchange(true)) return;
   auto* const tag = new WakeUpTag(wake_up_pending_);
-  const std::shared_ptr<grpc::Alarm> alarm = tag->alarm();  // Set() may still run when the tag is destroyed
+  // Copied, as Set() may still be running when the tag is destroyed.
+  const std::shared_ptr<grpc::Alarm> alarm = tag->alarm();
   alarm->Set(queue_.get(), gpr_time_0(GPR_CLOCK_MONOTONIC), tag->hand_to_grpc());
 }
 
-gpr_timespec GrpcLoop::time_until_next_call() const {
+gpr_timespec GrpcLoop::time_until_next_timer() const {
   if (timers_.empty()) return gpr_inf_future(GPR_CLOCK_MONOTONIC);
   const TimeUs remaining_us = timers_.next_deadline() - now();
-  return gpr_time_from_micros(remaining_us <= kBusyPollUs ? 0 : remaining_us, GPR_TIMESPAN);
+  return gpr_time_from_micros(remaining_us <= kPollThresholdUs ? 0 : remaining_us, GPR_TIMESPAN);
 }
 
 void GrpcLoop::run() {
@@ -90,7 +91,7 @@
       timers_.run_due(now());
       context_.poll();
     }
-    if (queue_->AsyncNext(&tag, &ok, time_until_next_call()) == grpc::CompletionQueue::GOT_EVENT) {
+    if (queue_->AsyncNext(&tag, &ok, time_until_next_timer()) == grpc::CompletionQueue::GOT_EVENT) {
       static_cast<CompletionTag*>(tag)->take_from_grpc()->complete(ok);
     }
   }
--- a/src/rpc/grpc_loop.h
+++ b/src/rpc/grpc_loop.h
@@ -1,6 +1,7 @@
-// A strand, its clock and gRPC's completion queue on one thread. It takes a completion from the queue, runs
-// coroutines until none is ready, calls what is due, and waits again. gRPC's sockets are read on this thread,
-// so that nothing changes threads between a socket and the code that a message is for.
+// An event loop that runs a strand, its clock and gRPC's completion queue on one thread. It takes a
+// completion from the queue, runs coroutines until none is ready, calls expired timers, and waits again. gRPC
+// reads its sockets on this thread, so messages aren't passed between threads on their way to the code that
+// handles them.
 #pragma once
 
 #include <grpcpp/completion_queue.h>
@@ -26,14 +27,14 @@
 
 namespace sablelink::rpc {
 
-/// now() may be called from any thread. call_after() and whatever uses the executor belong on the loop's
-/// thread; a call may be up to a millisecond late, as gRPC waits in such steps. Other threads use post(),
-/// post_and_wait() and spawn().
+/// now() may be called from any thread. call_after() and the executor may be used only on the loop's thread;
+/// other threads use post(), post_and_wait() and spawn(). Timers may be up to a millisecond late, as gRPC
+/// waits in steps of a millisecond.
 class GrpcLoop : public Clock {
  public:
   GrpcLoop(WallClock wall, SteadyClock steady);
-  /// Waits for every operation that gRPC still has; what these need in order to complete must have been done
-  /// before. Posted work and calls that aren't due yet are dropped.
+  /// Waits for all gRPC operations in flight; the caller must have made sure that they can complete. Posted
+  /// work and timers that haven't expired are discarded.
   ~GrpcLoop() override;
   GrpcLoop(const GrpcLoop&) = delete;
   GrpcLoop& operator=(const GrpcLoop&) = delete;
@@ -42,15 +43,15 @@
   TimeUs now() const override { return clock_.now(); }
   void call_after(TimeUs delay_us, std::function<void()> fn) override;
 
-  /// Runs fn on the loop; from any other thread.
+  /// Schedules fn on the loop; may be called from any other thread.
   template <typename Fn>
   void post(Fn fn) {
     boost::asio::post(context_, std::move(fn));
     wake_up();
   }
-  /// Runs fn on the loop and waits until it returns; from any other thread.
+  /// Runs fn on the loop and waits until it returns; may be called from any other thread.
   void post_and_wait(const std::function<void()>& fn);
-  /// Starts a coroutine on the loop; from any other thread.
+  /// Starts a coroutine on the loop; may be called from any other thread.
   template <typename T>
   std::future<T> spawn(Awaitable<T> coroutine) {
     std::future<T> result = boost::asio::co_spawn(context_, std::move(coroutine), boost::asio::use_future);
@@ -60,7 +61,7 @@
 
   const WallClock& wall() const { return wall_; }
   grpc::CompletionQueue* queue() { return queue_.get(); }
-  /// For the one server that may run on this loop. Its calls arrive in server_queue().
+  /// The builder for the only server that may run on this loop. Its calls arrive in server_queue().
   grpc::ServerBuilder& server_builder() { return builder_; }
   grpc::ServerCompletionQueue* server_queue() { return queue_.get(); }
 
@@ -68,16 +69,16 @@
   class WakeUpTag;
 
   void run();
-  gpr_timespec time_until_next_call() const;
+  gpr_timespec time_until_next_timer() const;
   void wake_up();
 
   const WallClock wall_;
   const EpochClock clock_;
   grpc::ServerBuilder builder_;
   std::unique_ptr<grpc::ServerCompletionQueue> queue_;
-  boost::asio::io_context context_;  // after queue_, which handlers that are left in it may refer to
+  boost::asio::io_context context_;  // declared after queue_, as pending handlers may refer to that
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_guard_;
-  TimerHeap timers_;  // used on the loop's thread
+  TimerHeap timers_;  // used only on the loop's thread
   std::atomic<bool> wake_up_pending_{false};
   std::atomic<bool> stopping_{false};
   std::thread thread_;
--- a/src/rpc/grpc_server.cpp
+++ b/src/rpc/grpc_server.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-// gRPC's own clients round a timeout up by as much as 1% before they send it, and may send one that they have
-// sent before instead where that is up to 3% longer (header compression). They wait no longer than they were
-// asked to.
+// gRPC clients round a time-out up by at most 1% before they send it. Where header compression saves bytes,
+// they may send an earlier time-out again that is up to 3% longer. The client itself still waits only for the
+// time-out that its caller set, so the received one is reduced by 1/25 = 4%.
 constexpr TimeUs kTimeoutRoundingDivisor = 25;
 
 }  // namespace
@@ -49,14 +49,16 @@
   Awaitable<bool> finish(Status status, Metadata trailers, std::optional<std::string> last) override {
     finished_ = true;
     for (const auto& [key, value] : trailers) context.AddTrailingMetadata(key, value);
-    const grpc::Status end(static_cast<grpc::StatusCode>(status.code), status.message, status.details);
+    const grpc::Status grpc_status(static_cast<grpc::StatusCode>(status.code), status.message,
+                                   status.details);
     const auto self = shared_from_this();
     if (!last) {
-      return await_completion(self, [self, end](void* tag) { self->stream.Finish(end, tag); });
+      return await_completion(self,
+                              [self, grpc_status](void* tag) { self->stream.Finish(grpc_status, tag); });
     }
     const grpc::ByteBuffer buffer = to_byte_buffer(std::move(*last));
-    return await_completion(self, [self, end, buffer](void* tag) {
-      self->stream.WriteAndFinish(buffer, grpc::WriteOptions(), end, tag);
+    return await_completion(self, [self, grpc_status, buffer](void* tag) {
+      self->stream.WriteAndFinish(buffer, grpc::WriteOptions(), grpc_status, tag);
     });
   }
 
@@ -68,8 +70,8 @@
     }
   }
 
-  // Reads what has arrived with the call.
-  void on_arrived(const WallClock& wall) {
+  // Reads the method, metadata, peer and deadline of the call that was accepted.
+  void on_accepted(const WallClock& wall) {
     method_ = context.method();
     metadata_ = copy_metadata(context.client_metadata());
     peer_ = context.peer();
@@ -80,13 +82,13 @@
     client_timeout_us_ = std::max<TimeUs>(remaining_us - remaining_us / kTimeoutRoundingDivisor, 0);
   }
 
-  // gRPC reports that the call has completed or was cancelled.
+  // Called when gRPC reports that the call has completed or was cancelled.
   void on_done() {
     if (context.IsCancelled()) {
       cancelled_ = true;
       if (on_cancelled_) std::exchange(on_cancelled_, nullptr)();
     }
-    on_cancelled_ = nullptr;  // it may own this call
+    on_cancelled_ = nullptr;  // the function may own this call
   }
 
   void cancel_unless_finished() {
@@ -113,7 +115,7 @@
   builder.RegisterAsyncGenericService(&service_);
   builder.SetMaxReceiveMessageSize(options.max_message_bytes);
   builder.SetMaxSendMessageSize(-1);
-  builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);  // a port in use is an error, not shared
+  builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);  // makes a port in use an error
   server_ = builder.BuildAndStart();
   if (!server_ || port_ == 0) throw ListenError("can't listen on " + options.address);
   for (int i = 0; i < options.pending_accepts; ++i) accept_next();
@@ -128,7 +130,7 @@
   none_active_.wait(lock, [this] { return active_ == 0; });
 }
 
-// Both tags own the call: one until it has arrived, the other until it has completed.
+// Both tags own the call: one until the call is accepted, the other until it has completed.
 void GrpcServer::accept_next() {
   add_active(1);
   auto call = std::make_shared<Call>();
@@ -136,18 +138,18 @@
   auto on_done = [call](bool) { call->on_done(); };
   auto* const done_tag = new CallbackTag<decltype(on_done)>(std::move(on_done));
   raw_call->context.AsyncNotifyWhenDone(done_tag->hand_to_grpc());
-  auto on_arrived = [this, call = std::move(call), done_tag](bool ok) mutable {
+  auto on_accepted = [this, call = std::move(call), done_tag](bool ok) mutable {
     if (ok) {
       accept_next();
       run_handler(std::move(call));
     } else {
-      done_tag->abandon();  // gRPC doesn't return it where the call never started
+      done_tag->abandon();  // gRPC doesn't return this tag where no call was accepted
       add_active(-1);
     }
   };
-  auto* const arrived_tag = new CallbackTag<decltype(on_arrived)>(std::move(on_arrived));
+  auto* const accepted_tag = new CallbackTag<decltype(on_accepted)>(std::move(on_accepted));
   service_.RequestCall(&raw_call->context, &raw_call->stream, loop_.queue(), loop_.server_queue(),
-                       arrived_tag->hand_to_grpc());
+                       accepted_tag->hand_to_grpc());
 }
 
 void GrpcServer::add_active(int change) {
@@ -157,7 +159,7 @@
 }
 
 void GrpcServer::run_handler(std::shared_ptr<Call> call) {
-  call->on_arrived(loop_.wall());
+  call->on_accepted(loop_.wall());
   asio::co_spawn(
       loop_.executor(),
       [](GrpcServer* server, std::shared_ptr<Call> handled) -> Awaitable<void> {
--- a/src/rpc/grpc_server.h
+++ b/src/rpc/grpc_server.h
@@ -16,25 +16,25 @@
 namespace sablelink::rpc {
 
 struct GrpcServerOptions {
-  std::string address;               // "host:port"; port 0 takes any free one
-  int max_message_bytes = 16 << 20;  // a larger message ends its call with RESOURCE_EXHAUSTED
-  int pending_accepts = 64;          // calls that gRPC can deliver before one of them is handled
+  std::string address;               // "host:port"; port 0 for any free port
+  int max_message_bytes = 16 << 20;  // larger messages end their call with RESOURCE_EXHAUSTED
+  int pending_accepts = 64;          // number of calls that gRPC can deliver before any is handled
 };
 
-/// Runs a handler on the loop for each call. A loop can have one server, which must be destroyed before the
-/// loop.
+/// Runs the handler on the loop for each call. A loop can have only one server, which must be destroyed
+/// before the loop.
 class GrpcServer {
  public:
-  /// Listens at once. Throws ListenError, naming the address, where that fails.
+  /// Starts to listen. Throws ListenError with the address on failure.
   GrpcServer(const GrpcServerOptions& options, GrpcLoop& loop, ServerHandler handler);
-  /// As shutdown(0).
+  /// Calls shutdown(0).
   ~GrpcServer();
   GrpcServer(const GrpcServer&) = delete;
   GrpcServer& operator=(const GrpcServer&) = delete;
 
   int port() const { return port_; }
-  /// Accepts no further calls and waits for those in flight, which are cancelled after the grace period; a
-  /// handler must return once its call is cancelled. Blocks, so it must not be called on the loop.
+  /// Stops accepting calls and waits for those in flight, which are cancelled after the grace period. A
+  /// handler must return once its call is cancelled. This blocks, so it must not be called on the loop.
   void shutdown(TimeUs grace_us);
 
  private:
@@ -50,7 +50,7 @@
   std::unique_ptr<grpc::Server> server_;
   std::mutex mutex_;
   std::condition_variable none_active_;
-  size_t active_ = 0;  // pending accepts and running handlers; guarded by mutex_
+  size_t active_ = 0;  // number of pending accepts and running handlers; guarded by mutex_
 };
 
 }  // namespace sablelink::rpc
--- a/src/rpc/rpc.h
+++ b/src/rpc/rpc.h
@@ -1,9 +1,9 @@
-// The interface between protocol code and what carries its messages, after gRPC's model: a call is a stream
-// of messages each way, with metadata before them and a status and trailers after them. grpc_server.h and
-// grpc_client.h implement it on gRPC, sim/network.h in simulated worlds.
+// Interface of remote procedure calls, modelled on gRPC's: a call has a stream of messages in each direction,
+// with metadata before them and a status and trailers after them. grpc_server.h and grpc_client.h implement
+// it on gRPC, sim/network.h in the simulation.
 //
-// Every method is called, and every awaited result arrives, on the strand given at construction. At most one
-// read and one write (or finish) of a call may be in flight.
+// Every method must be called on the strand given at construction, and coroutines are resumed there. At most
+// one read and one write (or finish) of a call may be in flight.
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -42,7 +42,7 @@
   kDataLoss = 15,
   kUnauthenticated = 16,
 };
-/// For example "NOT_FOUND"; "UNKNOWN" for a value that isn't a code.
+/// Returns the code's name, such as "NOT_FOUND"; "UNKNOWN" for invalid values.
 std::string_view code_name(Code code);
 
 struct Status {
@@ -54,7 +54,7 @@
 
 /// Keys are in lower case; values of keys that end in "-bin" are arbitrary bytes.
 using Metadata = std::vector<std::pair<std::string, std::string>>;
-/// The first value of the key; empty where there is none.
+/// Returns the first value of the key; empty where there is none.
 std::string_view find_value(const Metadata& metadata, std::string_view key);
 
 /// A call received from a client. Destroying it before finish() cancels the call.
@@ -65,24 +65,26 @@
   virtual const Metadata& metadata() const = 0;
   /// Identifies the client's connection.
   virtual const std::string& peer() const = 0;
-  /// The time that the client waits at least, in microseconds from the call's arrival; none for no time-out.
+  /// The time for which the client waits at least, in microseconds from the call's arrival; nullopt where it
+  /// set no time-out.
   virtual std::optional<TimeUs> client_timeout_us() const = 0;
-  /// None where the client has ended its stream or disconnected.
+  /// Returns the next message; nullopt where the client has ended its stream or disconnected.
   virtual Awaitable<std::optional<std::string>> read() = 0;
-  /// False where the call is broken.
+  /// Sends a message; false where the call is broken.
   virtual Awaitable<bool> write(std::string message) = 0;
-  /// Ends the call, after a last message where one is given. False where the status may not have reached the
-  /// client.
+  /// Sends the last message, if there is one, and ends the call. False where the status may not have reached
+  /// the client.
   virtual Awaitable<bool> finish(Status status, Metadata trailers, std::optional<std::string> last) = 0;
-  /// fn is called once when the client cancels, its deadline passes or its connection breaks; at once where
-  /// that has happened already.
+  /// Calls fn once, when the client cancels the call, its deadline passes or its connection breaks; at once
+  /// if that has happened already.
   virtual void on_cancelled(std::function<void()> fn) = 0;
   virtual bool cancelled() const = 0;
 };
 
 using ServerHandler = std::function<Awaitable<void>(std::shared_ptr<ServerCall>)>;
 
-/// How a call to a server ended. A status made on this side, as for a broken connection, has no trailers.
+/// The end of a call to a server. Where the status was made locally, as for a broken connection, there are no
+/// trailers.
 struct CallResult {
   Status status;
   Metadata trailers;
@@ -92,24 +94,25 @@
 class ClientCall {
  public:
   virtual ~ClientCall() = default;
-  /// last: no further message follows. False where the call is broken.
+  /// Sends a message; false where the call is broken. last: no further message follows.
   virtual Awaitable<bool> write(std::string message, bool last) = 0;
-  /// None after the last message; finish() has the reason.
+  /// Returns the next message; nullopt after the last one, when finish() returns the reason.
   virtual Awaitable<std::optional<std::string>> read() = 0;
-  /// To be called once, after read() has returned none.
+  /// Must be called once, after read() has returned nullopt.
   virtual Awaitable<CallResult> finish() = 0;
   /// May be called at any time.
   virtual void cancel() = 0;
 };
 
-/// A connection to a server, which is made anew where it has broken.
+/// A connection to a server. It reconnects where the connection has broken.
 class Channel {
  public:
   virtual ~Channel() = default;
-  /// True once connected; false where that takes longer than the time-out. Nothing of a later call is sent
-  /// before, so false proves that the server has seen nothing of it.
+  /// Waits until the channel is connected; false where that fails or takes longer than the time-out. Calls
+  /// made later aren't sent before this succeeds, so false proves that the server has received nothing of
+  /// them.
   virtual Awaitable<bool> connect(TimeUs timeout_us) = 0;
-  /// Starts a call. The time-out applies on both sides; 0 for none.
+  /// Starts a call. The time-out applies to both sides; 0 for none.
   virtual std::unique_ptr<ClientCall> call(std::string method, Metadata metadata, TimeUs timeout_us) = 0;
 };
 
--- a/src/rpc/tcp_socket.cpp
+++ b/src/rpc/tcp_socket.cpp
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-// A read, write or connect in flight. The io_context's thread fills bytes; the rest is used on the strand.
+// A read, write or connect in flight. Its buffer and result are used by the io_context's thread until the
+// operation is completed, and by the strand after that.
 struct TcpSocket::Operation {
   std::string bytes;
   error_code error;
@@ -83,10 +84,10 @@
 
 bool TcpSocket::readable() const {
   const std::shared_ptr<Operation> read = pending_read_.lock();
-  return (read && read->completed) || poll_now(POLLIN);
+  return (read && read->completed) || has_pending_event(POLLIN);
 }
 
-bool TcpSocket::peer_closed() const { return peer_closed_ || poll_now(POLLRDHUP); }
+bool TcpSocket::peer_closed() const { return peer_closed_ || has_pending_event(POLLRDHUP); }
 
 void TcpSocket::shutdown_write() {
   context_.run_on_io([self = shared_from_this()] {
@@ -109,7 +110,8 @@
 
 void TcpSocket::close_on_io() {
   error_code ignored;
-  // Without shutdown_write() before, the peer is to see a broken connection, not the end of the stream.
+  // Without shutdown_write() before, the connection is reset, so that the peer doesn't mistake this for the
+  // end of the stream.
   if (!write_shut_down_) socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   socket_.close(ignored);
 }
@@ -119,9 +121,8 @@
   socket_.set_option(tcp::no_delay(true), ignored);
 }
 
-// Asks the operating system whether an event is pending. Always false where another thread may close the
-// socket.
-bool TcpSocket::poll_now(short events) const {
+// Polls the socket for an event without waiting. Always false where another thread may close the socket.
+bool TcpSocket::has_pending_event(short events) const {
   if (!context_.io_is_strand || !socket_.is_open()) return false;
   pollfd descriptor{const_cast<tcp::socket&>(socket_).native_handle(), events, 0};
   return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (events | POLLERR | POLLHUP)) != 0;
--- a/src/rpc/tcp_socket.h
+++ b/src/rpc/tcp_socket.h
@@ -1,4 +1,4 @@
-// TCP sockets as byte streams.
+// ByteStream on TCP sockets.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,15 +17,15 @@
 
 namespace sablelink::rpc {
 
-/// Where the sockets of one transport are waited for, and how results reach the strand that uses their
-/// streams.
+/// The io_context on which the sockets of a transport run, and the way in which results are passed to the
+/// strand that uses their streams.
 struct TcpContext {
   boost::asio::io_context& io;
-  /// The strand runs on the io_context's own thread, so that nothing has to be handed over between threads.
+  /// Whether the strand runs on the io_context's thread, so that nothing has to be passed between threads.
   bool io_is_strand;
   std::function<void(std::function<void()>)> post_to_strand;
 
-  /// Runs fn on the io_context's thread; at once where that is the strand.
+  /// Runs fn on the io_context's thread; immediately where that is the strand.
   template <typename Fn>
   void run_on_io(Fn fn) const {
     if (io_is_strand) {
@@ -36,13 +36,13 @@
   }
 };
 
-/// The ByteStream methods and connect() belong on the strand, the others on the io_context's thread.
-/// Operations in flight keep the socket alive.
+/// connect() and the methods of ByteStream must be called on the strand, the others on the io_context's
+/// thread. Operations in flight keep the socket alive.
 class TcpSocket : public ByteStream, public std::enable_shared_from_this<TcpSocket> {
  public:
   explicit TcpSocket(TcpContext context);
 
-  /// Cancelled by close(), which gives operation_aborted.
+  /// Returns operation_aborted where close() is called before the connection is established.
   Awaitable<boost::system::error_code> connect(boost::asio::ip::tcp::endpoint endpoint);
 
   Awaitable<std::optional<std::string>> read(size_t max_bytes) override;
@@ -54,9 +54,9 @@
   void reset() override;
 
   boost::asio::ip::tcp::socket& native_socket() { return socket_; }
-  /// To be called once it is connected.
+  /// Must be called after the socket is connected.
   void disable_nagle();
-  /// As close(), on the io_context's thread.
+  /// Does the same as close(), but is called on the io_context's thread.
   void close_on_io();
 
  private:
@@ -64,18 +64,18 @@
 
   std::function<void(boost::system::error_code, size_t)> completion_handler(
       std::shared_ptr<Operation> operation);
-  bool poll_now(short events) const;
+  bool has_pending_event(short events) const;
 
   const TcpContext context_;
   boost::asio::ip::tcp::socket socket_;
-  bool write_shut_down_ = false;  // used on the io_context's thread
-  // Used on the strand.
+  bool write_shut_down_ = false;  // used only on the io_context's thread
+  // The following are used only on the strand.
   std::weak_ptr<Operation> pending_read_;
   bool peer_closed_ = false;
 };
 
-/// A handle to a socket's stream that closes the socket when it is destroyed. Operations in flight may keep
-/// the socket itself alive for longer.
+/// Owns a socket's stream and closes the socket when it is destroyed. Operations in flight may keep the
+/// socket object alive for longer.
 class OwnedStream : public ByteStream {
  public:
   explicit OwnedStream(std::shared_ptr<ByteStream> stream) : stream_(std::move(stream)) {}
--- a/src/rpc/tcp_transport.cpp
+++ b/src/rpc/tcp_transport.cpp
@@ -23,10 +23,10 @@
 
 namespace {
 
-// After an accept that failed, most likely for lack of file descriptors; without a pause it would be a busy
+// Delay after a failed accept, most likely for lack of file descriptors; retrying at once would be a busy
 // loop.
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
-constexpr size_t kMinSweepThreshold = 64;
+constexpr size_t kMinCleanupThreshold = 64;
 constexpr size_t kMaxPortDigits = 5;
 
 std::optional<uint16_t> parse_port(std::string_view text) {
@@ -38,7 +38,8 @@
   return port;
 }
 
-// Only numeric hosts and "localhost": names are resolved by whoever configures addresses.
+// Accepts only numeric hosts and "localhost". Names aren't resolved; the configuration must contain
+// addresses.
 tcp::endpoint parse_endpoint(const std::string& address) {
   const size_t colon = address.rfind(':');
   if (colon != std::string::npos) {
@@ -55,7 +56,7 @@
 ConnectStatus connect_status(error_code error) {
   if (!error) return ConnectStatus::kConnected;
   if (error == asio::error::connection_refused) return ConnectStatus::kRefused;
-  // The timeout closes the socket, which aborts the operation.
+  // connect() closes the socket on time-out, which aborts the operation.
   if (error == asio::error::operation_aborted || error == asio::error::timed_out) {
     return ConnectStatus::kTimeout;
   }
@@ -68,7 +69,7 @@
 
 }  // namespace
 
-// Accepts connections at one address. Runs on the io_context's thread.
+// Accepts connections at one address. Used only on the io_context's thread.
 class TcpTransport::Listener : public std::enable_shared_from_this<TcpTransport::Listener> {
  public:
   Listener(TcpTransport& transport, const tcp::endpoint& endpoint, StreamHandler handler)
@@ -86,15 +87,15 @@
     });
   }
 
-  // Serves the connections that wait to be accepted: their clients may have sent requests already, which
-  // closing the acceptor would reset.
+  // Still serves the connections that are waiting to be accepted: their clients may already have sent
+  // requests, and closing the acceptor would reset these connections.
   void stop() {
     accept_pending();
     state_ = State::kStopped;
     close_acceptor();
   }
 
-  // The transport may be gone afterwards.
+  // After this call, the transport may be destroyed.
   void close() {
     state_ = State::kTransportClosed;
     close_acceptor();
@@ -158,13 +159,13 @@
       own_io_(std::make_unique<asio::io_context>()),
       context_{*own_io_, false, strand_.post},
       work_guard_(own_io_->get_executor()),
-      sweep_threshold_(kMinSweepThreshold),
+      cleanup_threshold_(kMinCleanupThreshold),
       io_thread_([this] { own_io_->run(); }) {}
 
 TcpTransport::TcpTransport(AsioLoop& loop)
     : strand_{loop.executor(), [](const std::function<void()>& fn) { fn(); }, loop},
       context_{loop.context(), true, strand_.post},
-      sweep_threshold_(kMinSweepThreshold) {}
+      cleanup_threshold_(kMinCleanupThreshold) {}
 
 TcpTransport::~TcpTransport() {
   if (!own_io_) {
@@ -186,10 +187,11 @@
 std::shared_ptr<TcpSocket> TcpTransport::make_socket() const { return std::make_shared<TcpSocket>(context_); }
 
 void TcpTransport::register_socket(const std::shared_ptr<TcpSocket>& socket) {
-  // Swept only once the number has doubled, as sweeping at each new socket would take quadratic time.
-  if (sockets_.size() >= sweep_threshold_) {
+  // Expired pointers are removed only when the number has doubled: doing so for each new socket would take
+  // quadratic time.
+  if (sockets_.size() >= cleanup_threshold_) {
     std::erase_if(sockets_, [](const auto& weak_socket) { return weak_socket.expired(); });
-    sweep_threshold_ = std::max(kMinSweepThreshold, 2 * sockets_.size());
+    cleanup_threshold_ = std::max(kMinCleanupThreshold, 2 * sockets_.size());
   }
   sockets_.push_back(socket);
 }
@@ -221,7 +223,7 @@
   try {
     endpoint = parse_endpoint(address);
   } catch (const AddressError&) {
-    // Addresses come from endpoint lists, too, which must not end whoever dials.
+    // Addresses also come from endpoint lists, where an invalid one must not stop the caller.
     co_return ConnectResult{ConnectStatus::kFailed, nullptr};
   }
   const std::shared_ptr<TcpSocket> socket = make_socket();
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,4 +1,5 @@
-// One suite for both byte streams behind rpc/byte_stream.h, TCP on loopback and the simulated ones.
+// Runs the same tests on the implementations of rpc/byte_stream.h: TCP on loopback, with a separate I/O
+// thread and on an AsioLoop, and the simulated streams.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -22,33 +23,33 @@
 using StreamPtr = std::shared_ptr<ByteStream>;
 constexpr TimeUs kMs = 1000, kSecond = 1'000'000;
 
-// Server and client on one strand, so that the tests' own variables need no guard.
-class StreamNet {
+// Server and client run on one strand, so that the variables of the tests need no locks.
+class StreamTransport {
  public:
-  virtual ~StreamNet() = default;
+  virtual ~StreamTransport() = default;
   virtual std::string serve(rpc::StreamHandler handler) = 0;
   virtual Awaitable<StreamPtr> connect(std::string address) = 0;
   virtual std::string unused_address() = 0;
   virtual Clock& clock() = 0;
-  virtual void run(Awaitable<void> work) = 0;
+  virtual void run(Awaitable<void> coroutine) = 0;
 };
 
-class TcpStreams : public StreamNet {
+class TcpStreams : public StreamTransport {
  public:
   std::string serve(rpc::StreamHandler handler) override {
-    return "127.0.0.1:" + std::to_string(net_->listen("127.0.0.1:0", std::move(handler)));
+    return "127.0.0.1:" + std::to_string(transport_->listen("127.0.0.1:0", std::move(handler)));
   }
   Awaitable<StreamPtr> connect(std::string address) override {
-    const rpc::ConnectResult connected = co_await net_->connect(address, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await transport_->connect(address, 5 * kSecond);
     co_return connected.stream;
   }
   std::string unused_address() override {
-    rpc::TcpTransport other(strand());
-    const int port = other.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
+    rpc::TcpTransport closed_transport(strand());
+    const int port = closed_transport.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
     return "127.0.0.1:" + std::to_string(port);
   }
   Clock& clock() override { return loop_; }
-  void run(Awaitable<void> work) override { loop_.spawn(std::move(work)).get(); }
+  void run(Awaitable<void> coroutine) override { loop_.spawn(std::move(coroutine)).get(); }
 
  private:
   rpc::Strand strand() {
@@ -56,31 +57,31 @@
   }
   rpc::GrpcLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(strand());
+  std::unique_ptr<rpc::TcpTransport> transport_ = std::make_unique<rpc::TcpTransport>(strand());
 };
 
-// On a loop of Asio's own, which waits for the sockets itself.
-class LoopStreams : public StreamNet {
+// TCP on an AsioLoop, which runs the sockets itself.
+class LoopStreams : public StreamTransport {
  public:
   ~LoopStreams() override {
-    net_.reset();
-    loop_.poll();  // what still waits hears of its end
+    transport_.reset();
+    loop_.poll();  // completes the operations that are still in flight
   }
   std::string serve(rpc::StreamHandler handler) override {
-    return "127.0.0.1:" + std::to_string(net_->listen("127.0.0.1:0", std::move(handler)));
+    return "127.0.0.1:" + std::to_string(transport_->listen("127.0.0.1:0", std::move(handler)));
   }
   Awaitable<StreamPtr> connect(std::string address) override {
-    const rpc::ConnectResult connected = co_await net_->connect(address, 5 * kSecond);
+    const rpc::ConnectResult connected = co_await transport_->connect(address, 5 * kSecond);
     co_return connected.stream;
   }
   std::string unused_address() override {
-    rpc::TcpTransport other(loop_);
-    const int port = other.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
+    rpc::TcpTransport closed_transport(loop_);
+    const int port = closed_transport.listen("127.0.0.1:0", [](StreamPtr) -> Awaitable<void> { co_return; });
     return "127.0.0.1:" + std::to_string(port);
   }
   Clock& clock() override { return loop_; }
-  void run(Awaitable<void> work) override {
-    boost::asio::co_spawn(loop_.executor(), std::move(work), [this](const std::exception_ptr& error) {
+  void run(Awaitable<void> coroutine) override {
+    boost::asio::co_spawn(loop_.executor(), std::move(coroutine), [this](const std::exception_ptr& error) {
       loop_.stop();
       if (error) std::rethrow_exception(error);
     });
@@ -90,13 +91,13 @@
  private:
   rpc::AsioLoop loop_{[] { return std::chrono::system_clock::now(); },
                       [] { return std::chrono::steady_clock::now(); }};
-  std::unique_ptr<rpc::TcpTransport> net_ = std::make_unique<rpc::TcpTransport>(loop_);
+  std::unique_ptr<rpc::TcpTransport> transport_ = std::make_unique<rpc::TcpTransport>(loop_);
 };
 
-class SimStreams : public StreamNet {
+class SimStreams : public StreamTransport {
  public:
   ~SimStreams() override {
-    while (world_.step()) continue;  // what still waits hears of its end
+    while (world_.step()) continue;  // completes the operations that are still in flight
   }
   std::string serve(rpc::StreamHandler handler) override {
     streams_.listen("server", server_, std::move(handler));
@@ -108,7 +109,7 @@
   }
   std::string unused_address() override { return "nobody"; }
   Clock& clock() override { return *client_; }
-  void run(Awaitable<void> work) override { test::run_in(world_, std::move(work)); }
+  void run(Awaitable<void> coroutine) override { test::run_in(world_, std::move(coroutine)); }
 
  private:
   sim::Account account_;
@@ -124,13 +125,13 @@
  protected:
   StreamTest() {
     if (GetParam() == Kind::kTcp)
-      net_ = std::make_unique<TcpStreams>();
+      transport_ = std::make_unique<TcpStreams>();
     else if (GetParam() == Kind::kLoop)
-      net_ = std::make_unique<LoopStreams>();
+      transport_ = std::make_unique<LoopStreams>();
     else
-      net_ = std::make_unique<SimStreams>();
+      transport_ = std::make_unique<SimStreams>();
   }
-  std::unique_ptr<StreamNet> net_;
+  std::unique_ptr<StreamTransport> transport_;
 };
 
 std::string pattern(size_t bytes) {
@@ -139,7 +140,7 @@
   return out;
 }
 
-// All that comes until the other side's end; nothing where the connection broke before.
+// Reads until the peer ends its stream; nullopt where the connection breaks before.
 Awaitable<std::optional<std::string>> read_all(StreamPtr stream) {
   std::string all;
   while (true) {
@@ -152,39 +153,39 @@
 }
 
 TEST_P(StreamTest, ShutdownWrite_DeliversAllBytesAndReadsOn) {
-  const std::string asked = pattern(300'000);
-  const std::string answer = pattern(200'001);
-  std::optional<std::string> seen;
-  std::optional<std::string> back;
-  const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> {
-    seen = co_await read_all(s);
-    std::string text = answer;
+  const std::string request = pattern(300'000);
+  const std::string response = pattern(200'001);
+  std::optional<std::string> received_request;
+  std::optional<std::string> received_response;
+  const std::string address = transport_->serve([&](StreamPtr s) -> Awaitable<void> {
+    received_request = co_await read_all(s);
+    std::string text = response;
     const bool sent = co_await rpc::write_all(*s, std::move(text));
     EXPECT_TRUE(sent);
     s->shutdown_write();
   });
   const auto client = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await net_->connect(address);
+    const StreamPtr s = co_await transport_->connect(address);
     if (!s) co_return;
-    std::string text = asked;
+    std::string text = request;
     const bool sent = co_await rpc::write_all(*s, std::move(text));
     EXPECT_TRUE(sent);
     s->shutdown_write();
-    back = co_await read_all(s);
+    received_response = co_await read_all(s);
   };
-  net_->run(client());
-  EXPECT_TRUE(seen == asked);
-  EXPECT_TRUE(back == answer);
+  transport_->run(client());
+  EXPECT_TRUE(received_request == request);
+  EXPECT_TRUE(received_response == response);
 }
 
-// What is on its way is bounded: a writer waits for a reader that does nothing.
+// Buffers are limited: a writer waits for a reader that doesn't read.
 TEST_P(StreamTest, SlowReader_ExertsBackpressure) {
-  constexpr size_t kAll = 32 << 20;
+  constexpr size_t kTotalBytes = 32 << 20;
   size_t written = 0;
   size_t at_first_read = 0;
   size_t read = 0;
-  const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> {
-    co_await sleep_for(net_->clock(), 50 * kMs);
+  const std::string address = transport_->serve([&](StreamPtr s) -> Awaitable<void> {
+    co_await sleep_for(transport_->clock(), 50 * kMs);
     at_first_read = written;
     while (true) {
       const std::optional<std::string> piece = co_await s->read(1 << 20);
@@ -194,10 +195,10 @@
     s->shutdown_write();
   });
   const auto client = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await net_->connect(address);
+    const StreamPtr s = co_await transport_->connect(address);
     if (!s) co_return;
     const std::string piece(1 << 20, 'x');
-    while (written < kAll) {
+    while (written < kTotalBytes) {
       const size_t n = co_await s->write(piece);
       if (n == 0) co_return;
       written += n;
@@ -205,55 +206,56 @@
     s->shutdown_write();
     co_await s->read(1);
   };
-  net_->run(client());
-  EXPECT_LT(at_first_read, kAll / 2);
+  transport_->run(client());
+  EXPECT_LT(at_first_read, kTotalBytes / 2);
   EXPECT_EQ(read, written);
 }
 
 TEST_P(StreamTest, CloseWithoutShutdown_IsNoEndOfStream) {
-  const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> {
+  const std::string address = transport_->serve([&](StreamPtr s) -> Awaitable<void> {
     co_await s->read(100);
     s->close();
     const std::optional<std::string> closed = co_await s->read(100);
     EXPECT_FALSE(closed.has_value());
   });
-  std::optional<std::string> heard = "nothing yet";
-  size_t taken = 1;
+  std::optional<std::string> read_result = "nothing yet";
+  size_t bytes_written = 1;
   const auto client = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await net_->connect(address);
+    const StreamPtr s = co_await transport_->connect(address);
     if (!s) co_return;
     co_await s->write("hello");
-    heard = co_await s->read(100);
-    taken = co_await s->write("more");
+    read_result = co_await s->read(100);
+    bytes_written = co_await s->write("more");
   };
-  net_->run(client());
-  EXPECT_FALSE(heard.has_value());
-  EXPECT_EQ(taken, 0u);
+  transport_->run(client());
+  EXPECT_FALSE(read_result.has_value());
+  EXPECT_EQ(bytes_written, 0u);
 }
 
 TEST_P(StreamTest, RefusedConnection_GivesNoStream) {
   bool refused = false;
-  const std::string address = net_->unused_address();
+  const std::string address = transport_->unused_address();
   const auto client = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await net_->connect(address);
+    const StreamPtr s = co_await transport_->connect(address);
     refused = s == nullptr;
   };
-  net_->run(client());
+  transport_->run(client());
   EXPECT_TRUE(refused);
 }
 
 TEST_P(StreamTest, Close_CompletesItsOwnRead) {
-  const std::string address = net_->serve([&](StreamPtr s) -> Awaitable<void> { co_await read_all(s); });
-  bool let_go = false;
+  const std::string address =
+      transport_->serve([&](StreamPtr s) -> Awaitable<void> { co_await read_all(s); });
+  bool read_failed = false;
   const auto client = [&]() -> Awaitable<void> {
-    const StreamPtr s = co_await net_->connect(address);
+    const StreamPtr s = co_await transport_->connect(address);
     if (!s) co_return;
-    net_->clock().call_after(20 * kMs, [s] { s->close(); });
+    transport_->clock().call_after(20 * kMs, [s] { s->close(); });
     const std::optional<std::string> piece = co_await s->read(100);
-    let_go = !piece.has_value();
+    read_failed = !piece.has_value();
   };
-  net_->run(client());
-  EXPECT_TRUE(let_go);
+  transport_->run(client());
+  EXPECT_TRUE(read_failed);
 }
 
 INSTANTIATE_TEST_SUITE_P(All, StreamTest, testing::Values(Kind::kTcp, Kind::kLoop, Kind::kSim),
@@ -263,7 +265,7 @@
                                                               : "Sim";
                          });
 
-// Both sides hear of it, whatever they wait for.
+// A reset completes the pending reads of both sides.
 TEST(SimulatedStreams, Reset_BreaksBothSides) {
   sim::Account account;
   sim::World world{7, account};
@@ -276,7 +278,7 @@
     const std::optional<std::string> piece = co_await s->read(100);
     server_broken = !piece.has_value();
   });
-  const auto work = [&]() -> Awaitable<void> {
+  const auto coroutine = [&]() -> Awaitable<void> {
     const rpc::ConnectResult connected = co_await streams.connect(client, "server", kSecond);
     const StreamPtr s = connected.stream;
     if (!s) co_return;
@@ -284,7 +286,7 @@
     const std::optional<std::string> piece = co_await s->read(100);
     client_broken = !piece.has_value();
   };
-  test::run_in(world, work());
+  test::run_in(world, coroutine());
   EXPECT_TRUE(client_broken);
   EXPECT_TRUE(server_broken);
 }
@@ -292,11 +294,12 @@
 TEST(TcpTransport, InvalidAddress_IsNamedInTheError) {
   rpc::GrpcLoop loop([] { return std::chrono::system_clock::now(); },
                      [] { return std::chrono::steady_clock::now(); });
-  rpc::TcpTransport net({loop.executor(), [&](std::function<void()> fn) { loop.post(std::move(fn)); }, loop});
+  rpc::TcpTransport transport(
+      {loop.executor(), [&](std::function<void()> fn) { loop.post(std::move(fn)); }, loop});
   const auto handler = [](StreamPtr) -> Awaitable<void> { co_return; };
   for (const char* address : {"nowhere", "127.0.0.1:", "127.0.0.1:70000", "127.0.0.1:-1", "::1"}) {
     try {
-      net.listen(address, handler);
+      transport.listen(address, handler);
       ADD_FAILURE() << address;
     } catch (const std::runtime_error& e) {
       EXPECT_NE(std::string(e.what()).find(address), std::string::npos) << e.what();
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,5 +1,5 @@
-// One suite for both transports behind rpc/rpc.h, gRPC on loopback sockets and the simulated network, so that
-// what the simulation shows holds on the sockets.
+// Runs the same tests on both implementations of rpc/rpc.h, gRPC on loopback sockets and the simulated
+// network, to check that the simulation behaves like gRPC.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -32,9 +32,9 @@
   virtual void stop_server() = 0;
   virtual std::unique_ptr<rpc::Channel> open(const std::string& address) = 0;
   virtual std::string unused_address() = 0;
-  // Runs a client's doings to their end.
-  virtual void run(Awaitable<void> work) = 0;
-  // Until a condition holds; false where it never does.
+  // Runs a client's coroutine to completion.
+  virtual void run(Awaitable<void> coroutine) = 0;
+  // Waits until a condition holds; false where it doesn't in time.
   virtual bool wait_for(const std::function<bool()>& condition) = 0;
 };
 
@@ -64,7 +64,7 @@
     rpc::GrpcServer server(options, loop, [](CallPtr) -> Awaitable<void> { co_return; });
     return "127.0.0.1:" + std::to_string(server.port());
   }
-  void run(Awaitable<void> work) override { client_loop_.spawn(std::move(work)).get(); }
+  void run(Awaitable<void> coroutine) override { client_loop_.spawn(std::move(coroutine)).get(); }
   bool wait_for(const std::function<bool()>& condition) override {
     for (int i = 0; i < 10'000; ++i) {
       if (condition()) return true;
@@ -96,7 +96,7 @@
   void stop_server() override { network_.close(listener_); }
   std::unique_ptr<rpc::Channel> open(const std::string& address) override { return channels_->open(address); }
   std::string unused_address() override { return "nobody"; }
-  void run(Awaitable<void> work) override { test::run_in(world_, std::move(work)); }
+  void run(Awaitable<void> coroutine) override { test::run_in(world_, std::move(coroutine)); }
   bool wait_for(const std::function<bool()>& condition) override {
     while (!condition())
       if (!world_.step()) return condition();
@@ -130,41 +130,42 @@
   void serve(rpc::ServerHandler handler, size_t max_message_bytes = 4 << 20) {
     channel = transport->open(transport->serve(std::move(handler), max_message_bytes));
   }
-  std::unique_ptr<rpc::ClientCall> call(TimeUs allow = 10 * kSecond, rpc::Metadata metadata = {}) {
-    return channel->call("/s/Method", std::move(metadata), allow);
+  std::unique_ptr<rpc::ClientCall> call(TimeUs timeout_us = 10 * kSecond, rpc::Metadata metadata = {}) {
+    return channel->call("/s/Method", std::move(metadata), timeout_us);
   }
-  // Ends a call well, with a last message where given.
-  static Awaitable<void> end_well(CallPtr call, std::optional<std::string> last) {
+  // Ends a call with the status OK, after the last message if there is one.
+  static Awaitable<void> finish_ok(CallPtr call, std::optional<std::string> last) {
     rpc::Status status;
     rpc::Metadata trailers;
     co_await call->finish(std::move(status), std::move(trailers), std::move(last));
   }
-  // What a call that sends one message ends with; its messages are kept in received.
-  Awaitable<void> ask(rpc::ClientCall* call, std::string message) {
+  // Sends one message as the last one and reads the response. Stores its messages in received and its end in
+  // end.
+  Awaitable<void> send_and_read_all(rpc::ClientCall* call, std::string message) {
     co_await call->write(std::move(message), true);
-    co_await hear(call);
+    co_await read_all(call);
   }
   Awaitable<void> connect(bool* connected) { *connected = co_await channel->connect(5 * kSecond); }
-  static Awaitable<void> say(rpc::ClientCall* to, std::string message) {
-    co_await to->write(std::move(message), true);
+  static Awaitable<void> send(rpc::ClientCall* client_call, std::string message) {
+    co_await client_call->write(std::move(message), true);
   }
-  // Reads a call to its end.
-  Awaitable<void> hear(rpc::ClientCall* from) {
-    while (std::optional<std::string> m = co_await from->read()) received.push_back(std::move(*m));
-    end = co_await from->finish();
+  // Reads a call's messages and its end.
+  Awaitable<void> read_all(rpc::ClientCall* client_call) {
+    while (std::optional<std::string> m = co_await client_call->read()) received.push_back(std::move(*m));
+    end = co_await client_call->finish();
   }
-  static Awaitable<void> let_go(std::unique_ptr<rpc::ClientCall>* held) {
-    held->reset();
+  static Awaitable<void> destroy_call(std::unique_ptr<rpc::ClientCall>* call) {
+    call->reset();
     co_return;
   }
   // Waits in a handler until its call is cancelled.
-  static Awaitable<void> until_cancelled(CallPtr call, std::atomic<int>* cancels) {
-    const auto over = std::make_shared<AsyncEvent>();
-    call->on_cancelled([over, cancels] {
-      ++*cancels;
-      over->set();
+  static Awaitable<void> until_cancelled(CallPtr call, std::atomic<int>* cancel_count) {
+    const auto cancelled = std::make_shared<AsyncEvent>();
+    call->on_cancelled([cancelled, cancel_count] {
+      ++*cancel_count;
+      cancelled->set();
     });
-    co_await over->wait();
+    co_await cancelled->wait();
   }
 
   std::unique_ptr<Transport> transport;
@@ -175,11 +176,11 @@
 
 TEST_P(TransportTest, Call_CarriesMessagesMetadataStatusAndTrailers) {
   std::string method;
-  std::string seen;
+  std::string metadata_value;
   std::vector<std::string> messages;
   serve([&](CallPtr call) -> Awaitable<void> {
     method = call->method();
-    seen = rpc::find_value(call->metadata(), "x-a");
+    metadata_value = rpc::find_value(call->metadata(), "x-a");
     while (std::optional<std::string> m = co_await call->read()) messages.push_back(std::move(*m));
     for (int i = 0; i < 3; ++i) {
       std::string answer = "answer " + std::to_string(i);
@@ -191,14 +192,14 @@
     co_await call->finish(std::move(status), std::move(trailers), std::move(last));
   });
   auto c = call(kSecond, {{"x-a", "b"}});
-  transport->run([](TransportTest* t, rpc::ClientCall* to) -> Awaitable<void> {
+  transport->run([](TransportTest* test, rpc::ClientCall* client_call) -> Awaitable<void> {
     std::string first = "one";
-    co_await to->write(std::move(first), false);
+    co_await client_call->write(std::move(first), false);
     std::string second = "two";
-    co_await t->ask(to, std::move(second));
+    co_await test->send_and_read_all(client_call, std::move(second));
   }(this, c.get()));
   EXPECT_EQ(method, "/s/Method");
-  EXPECT_EQ(seen, "b");
+  EXPECT_EQ(metadata_value, "b");
   EXPECT_EQ(messages, (std::vector<std::string>{"one", "two"}));
   EXPECT_EQ(received, (std::vector<std::string>{"answer 0", "answer 1", "answer 2"}));
   EXPECT_EQ(end.status.code, Code::kAborted);
@@ -209,9 +210,9 @@
 }
 
 TEST_P(TransportTest, LastMessage_ArrivesWithTheStatus) {
-  serve([](CallPtr call) -> Awaitable<void> { co_await end_well(call, "last"); });
+  serve([](CallPtr call) -> Awaitable<void> { co_await finish_ok(call, "last"); });
   auto c = call();
-  transport->run(ask(c.get(), "m"));
+  transport->run(send_and_read_all(c.get(), "m"));
   EXPECT_EQ(received, std::vector<std::string>{"last"});
   EXPECT_EQ(end.status.code, Code::kOk);
 }
@@ -220,10 +221,10 @@
   std::atomic<size_t> read{0};
   serve([&](CallPtr call) -> Awaitable<void> {
     while (co_await call->read()) ++read;
-    co_await end_well(call, "");
+    co_await finish_ok(call, "");
   });
   auto c = call();
-  transport->run(ask(c.get(), ""));
+  transport->run(send_and_read_all(c.get(), ""));
   EXPECT_EQ(read, 1u);
   EXPECT_EQ(received, std::vector<std::string>{""});
 }
@@ -234,13 +235,13 @@
   transport->run(connect(&connected));
   EXPECT_FALSE(connected);
   auto c = call(2 * kSecond);
-  transport->run(ask(c.get(), "m"));
+  transport->run(send_and_read_all(c.get(), "m"));
   EXPECT_EQ(end.status.code, Code::kUnavailable);
   EXPECT_TRUE(end.trailers.empty());
 }
 
 TEST_P(TransportTest, Connect_OnAnEstablishedConnection_Succeeds) {
-  serve([](CallPtr call) -> Awaitable<void> { co_await end_well(call, std::nullopt); });
+  serve([](CallPtr call) -> Awaitable<void> { co_await finish_ok(call, std::nullopt); });
   bool first = false;
   bool second = false;
   transport->run(connect(&first));
@@ -250,120 +251,120 @@
 }
 
 TEST_P(TransportTest, Deadline_EndsTheCallOnBothSides) {
-  std::atomic<int> cancels{0};
-  std::atomic<TimeUs> allowed{0};
+  std::atomic<int> cancel_count{0};
+  std::atomic<TimeUs> server_timeout_us{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    allowed = call->client_timeout_us().value_or(-1);
-    co_await until_cancelled(call, &cancels);
+    server_timeout_us = call->client_timeout_us().value_or(-1);
+    co_await until_cancelled(call, &cancel_count);
   });
   auto c = call(150 * kMs);
-  transport->run(ask(c.get(), "m"));
+  transport->run(send_and_read_all(c.get(), "m"));
   EXPECT_EQ(end.status.code, Code::kDeadlineExceeded);
   EXPECT_TRUE(end.trailers.empty());
-  EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
-  EXPECT_LE(allowed, 150 * kMs);
-  EXPECT_GT(allowed, 75 * kMs);
+  EXPECT_TRUE(transport->wait_for([&] { return cancel_count == 1; }));
+  EXPECT_LE(server_timeout_us, 150 * kMs);
+  EXPECT_GT(server_timeout_us, 75 * kMs);
 }
 
 TEST_P(TransportTest, CallWithoutTimeout_GivesTheServerNone) {
-  std::atomic<bool> none{false};
+  std::atomic<bool> no_timeout{false};
   serve([&](CallPtr call) -> Awaitable<void> {
-    none = !call->client_timeout_us().has_value();
-    co_await end_well(call, std::nullopt);
+    no_timeout = !call->client_timeout_us().has_value();
+    co_await finish_ok(call, std::nullopt);
   });
   auto c = call(0);
-  transport->run(ask(c.get(), "m"));
-  EXPECT_TRUE(none);
+  transport->run(send_and_read_all(c.get(), "m"));
+  EXPECT_TRUE(no_timeout);
 }
 
 TEST_P(TransportTest, Cancel_ReachesTheServerOnce) {
-  std::atomic<int> cancels{0};
-  std::atomic<int> begun{0};
+  std::atomic<int> cancel_count{0};
+  std::atomic<int> handlers_started{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    ++begun;
-    co_await until_cancelled(call, &cancels);
+    ++handlers_started;
+    co_await until_cancelled(call, &cancel_count);
     std::string late = "late";
     const bool written = co_await call->write(std::move(late));
     EXPECT_FALSE(written);
     EXPECT_TRUE(call->cancelled());
   });
   auto c = call();
-  transport->run(say(c.get(), "m"));
-  ASSERT_TRUE(transport->wait_for([&] { return begun == 1; }));
-  transport->run([](TransportTest* t, rpc::ClientCall* to) -> Awaitable<void> {
-    to->cancel();
-    co_await t->hear(to);
+  transport->run(send(c.get(), "m"));
+  ASSERT_TRUE(transport->wait_for([&] { return handlers_started == 1; }));
+  transport->run([](TransportTest* test, rpc::ClientCall* client_call) -> Awaitable<void> {
+    client_call->cancel();
+    co_await test->read_all(client_call);
   }(this, c.get()));
   EXPECT_EQ(end.status.code, Code::kCancelled);
-  EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
+  EXPECT_TRUE(transport->wait_for([&] { return cancel_count == 1; }));
 }
 
 TEST_P(TransportTest, DestroyedCall_IsCancelled) {
-  std::atomic<int> cancels{0};
-  std::atomic<int> begun{0};
+  std::atomic<int> cancel_count{0};
+  std::atomic<int> handlers_started{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    ++begun;
-    co_await until_cancelled(call, &cancels);
+    ++handlers_started;
+    co_await until_cancelled(call, &cancel_count);
   });
   auto c = call();
-  transport->run(say(c.get(), "m"));
-  ASSERT_TRUE(transport->wait_for([&] { return begun == 1; }));
-  transport->run(let_go(&c));
-  EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
+  transport->run(send(c.get(), "m"));
+  ASSERT_TRUE(transport->wait_for([&] { return handlers_started == 1; }));
+  transport->run(destroy_call(&c));
+  EXPECT_TRUE(transport->wait_for([&] { return cancel_count == 1; }));
 }
 
 TEST_P(TransportTest, CompletedCall_IsNeverCancelled) {
-  std::atomic<int> cancels{0};
+  std::atomic<int> cancel_count{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    call->on_cancelled([&] { ++cancels; });
-    co_await end_well(call, "done");
+    call->on_cancelled([&] { ++cancel_count; });
+    co_await finish_ok(call, "done");
   });
   for (int i = 0; i < 20; ++i) {
     auto c = call(200 * kMs);
-    transport->run(ask(c.get(), "m"));
+    transport->run(send_and_read_all(c.get(), "m"));
     EXPECT_EQ(end.status.code, Code::kOk);
   }
   transport->run(sleep_for(transport->client_clock(), 400 * kMs));
-  EXPECT_EQ(cancels, 0);
+  EXPECT_EQ(cancel_count, 0);
 }
 
 TEST_P(TransportTest, HandlerWithoutFinish_CancelsTheCall) {
   serve([](CallPtr call) -> Awaitable<void> { co_await call->read(); });
   auto c = call();
-  transport->run(ask(c.get(), "m"));
+  transport->run(send_and_read_all(c.get(), "m"));
   EXPECT_EQ(end.status.code, Code::kCancelled);
   EXPECT_TRUE(end.trailers.empty());
 }
 
 TEST_P(TransportTest, ServerShutdown_CancelsCallsInFlight) {
-  std::atomic<int> cancels{0};
-  std::atomic<int> begun{0};
+  std::atomic<int> cancel_count{0};
+  std::atomic<int> handlers_started{0};
   serve([&](CallPtr call) -> Awaitable<void> {
-    ++begun;
-    co_await until_cancelled(call, &cancels);
+    ++handlers_started;
+    co_await until_cancelled(call, &cancel_count);
   });
   auto c = call();
-  transport->run(say(c.get(), "m"));
-  ASSERT_TRUE(transport->wait_for([&] { return begun == 1; }));
+  transport->run(send(c.get(), "m"));
+  ASSERT_TRUE(transport->wait_for([&] { return handlers_started == 1; }));
   transport->stop_server();
-  transport->run(hear(c.get()));
+  transport->run(read_all(c.get()));
   EXPECT_EQ(end.status.code, Code::kUnavailable);
   EXPECT_TRUE(end.trailers.empty());
-  EXPECT_EQ(cancels, 1);
+  EXPECT_EQ(cancel_count, 1);
 }
 
 TEST_P(TransportTest, TooLargeMessage_EndsTheCall) {
   serve(
       [](CallPtr call) -> Awaitable<void> {
         while (co_await call->read()) continue;
-        co_await end_well(call, std::nullopt);
+        co_await finish_ok(call, std::nullopt);
       },
       1000);
   auto c = call();
-  transport->run(ask(c.get(), std::string(2000, 'x')));
+  transport->run(send_and_read_all(c.get(), std::string(2000, 'x')));
   EXPECT_EQ(end.status.code, Code::kResourceExhausted);
   auto small = call();
-  transport->run(ask(small.get(), std::string(900, 'x')));
+  transport->run(send_and_read_all(small.get(), std::string(900, 'x')));
   EXPECT_EQ(end.status.code, Code::kOk);
 }
 
@@ -377,45 +378,45 @@
       if (!co_await call->write(std::move(m))) co_return;
       ++written;
     }
-    co_await end_well(call, std::nullopt);
+    co_await finish_ok(call, std::nullopt);
   });
   auto c = call();
-  transport->run(say(c.get(), "m"));
+  transport->run(send(c.get(), "m"));
   transport->run(sleep_for(transport->client_clock(), 300 * kMs));
-  const int before = written;
-  transport->run(hear(c.get()));
-  EXPECT_LT(before, kMessages / 2);
+  const int written_before_reading = written;
+  transport->run(read_all(c.get()));
+  EXPECT_LT(written_before_reading, kMessages / 2);
   EXPECT_EQ(received.size(), size_t{kMessages});
   EXPECT_EQ(end.status.code, Code::kOk);
 }
 
 TEST_P(TransportTest, CallsOfOneChannel_DoNotBlockEachOther) {
-  std::atomic<int> cancels{0};
+  std::atomic<int> cancel_count{0};
   serve([&](CallPtr call) -> Awaitable<void> {
     const std::optional<std::string> m = co_await call->read();
     if (m == "wait")
-      co_await until_cancelled(call, &cancels);
+      co_await until_cancelled(call, &cancel_count);
     else
-      co_await end_well(call, "quick");
+      co_await finish_ok(call, "quick");
   });
-  auto held = call();
-  transport->run(say(held.get(), "wait"));
+  auto waiting_call = call();
+  transport->run(send(waiting_call.get(), "wait"));
   auto c = call();
-  transport->run(ask(c.get(), "go"));
+  transport->run(send_and_read_all(c.get(), "go"));
   EXPECT_EQ(received, std::vector<std::string>{"quick"});
-  transport->run(let_go(&held));
-  EXPECT_TRUE(transport->wait_for([&] { return cancels == 1; }));
+  transport->run(destroy_call(&waiting_call));
+  EXPECT_TRUE(transport->wait_for([&] { return cancel_count == 1; }));
 }
 
-// The loop's thread may see its end before the call that wakes it has come to the queue, which was shut by
-// then and took the process down.
+// Guards against a race in the destructor: the loop's thread can see the stop flag before the alarm that
+// wakes it is set. If that thread shut the queue down, setting the alarm would abort the process.
 TEST(GrpcLoop, DestructionWhileBusy_Completes) {
   for (int i = 0; i < 300; ++i) {
-    std::function<void()> again;
+    std::function<void()> reschedule;
     rpc::GrpcLoop loop([] { return std::chrono::system_clock::now(); },
                        [] { return std::chrono::steady_clock::now(); });
-    again = [&] { loop.call_after(1, again); };
-    loop.post_and_wait(again);
+    reschedule = [&] { loop.call_after(1, reschedule); };
+    loop.post_and_wait(reschedule);
   }
 }
 
