--- a/src/flightsql/engine_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -110,7 +110,7 @@
   metadata.emplace_back(kRequestKey, options_.origin + "/" + std::to_string(attempt.request));
   metadata.emplace_back(kAttemptKey, std::to_string(attempt.number));
   metadata.emplace_back(kPriorityKey, std::to_string(spec.priority));
-  metadata.emplace_back(kAllowKey, std::to_string(spec.remaining_us));
+  metadata.emplace_back(kAttemptTimeoutKey, std::to_string(spec.remaining_us));
   if (spec.memory_grant_mb > 0) metadata.emplace_back(kGrantKey, std::to_string(spec.memory_grant_mb));
   if (!spec.statement->client_tag.empty()) metadata.emplace_back(kClientTagKey, spec.statement->client_tag);
   return metadata;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -96,7 +96,7 @@
 class FlightSqlServer::PendingResponse : public dispatch::ResponseSink {
  public:
   void write(std::string message) override {
-    queue.push_back(std::move(message));
+    messages.push_back(std::move(message));
     updated.set();
   }
   void finish(const dispatch::FinalResponse& final_response) override {
@@ -116,7 +116,7 @@
   uint64_t announced_schema_hash = 0;
   schemas::SchemaCache::ChangeCount changes_at_request = 0;
   bool schema_changed = false;
-  std::deque<std::string> queue;
+  std::deque<std::string> messages;
   std::optional<dispatch::FinalResponse> response;
   bool client_disconnected = false, cancelled = false;
   AsyncEvent updated;
@@ -482,9 +482,9 @@
 Awaitable<void> FlightSqlServer::forward_messages(CallPtr call, std::shared_ptr<PendingResponse> pending,
                                                   bool is_update, std::string* last_message) {
   for (;;) {
-    while (!pending->queue.empty() && !pending->client_disconnected && !pending->cancelled) {
-      std::string message = std::move(pending->queue.front());
-      pending->queue.pop_front();
+    while (!pending->messages.empty() && !pending->client_disconnected && !pending->cancelled) {
+      std::string message = std::move(pending->messages.front());
+      pending->messages.pop_front();
       const size_t size = message.size();
       if (!pending->cached_statement.key.empty()) {
         // Only the first message contains the schema.
@@ -493,7 +493,7 @@
                                       cached_statement, message, pending->announced_schema_hash,
                                       pending->changes_at_request) == SchemaResolver::SchemaCheck::kChanged;
       }
-      if (is_update || (pending->response && pending->queue.empty() &&
+      if (is_update || (pending->response && pending->messages.empty() &&
                         pending->response->status == dispatch::RequestStatus::kServed)) {
         *last_message = std::move(message);  // sent with the status, or used by the caller
         dispatcher_.on_response_consumed(pending->id, size);
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -24,7 +24,7 @@
                                                                                 std::string_view handle) {
   const auto it = entries_by_handle_.find(std::string(handle));
   if (it == entries_by_handle_.end()) return nullptr;
-  it->second->used_at = now;
+  it->second->last_used_at = now;
   entries_.splice(entries_.end(), entries_, it->second);
   return &it->second;
 }
@@ -41,7 +41,7 @@
          bytes_ + added_bytes > limits_.max_bytes) {
     const auto oldest = entries_.begin();
     if (oldest == entries_.end() || &*oldest == protected_entry ||
-        now - oldest->used_at < limits_.min_idle_us)
+        now - oldest->last_used_at < limits_.min_idle_us)
       return false;
     erase(oldest);
   }
@@ -56,7 +56,7 @@
   const uint64_t suffix = mix(handle_seed_ + ++last_id_);
   entry.handle.assign(reinterpret_cast<const char*>(&last_id_), 8);
   entry.handle.append(reinterpret_cast<const char*>(&suffix), 8);
-  entry.used_at = now;
+  entry.last_used_at = now;
   bytes_ += entry.bytes;
   entries_.push_back(std::move(entry));
   const auto it = std::prev(entries_.end());
--- a/src/flightsql/prepared.h
+++ b/src/flightsql/prepared.h
@@ -47,7 +47,7 @@
     std::string handle;
     BoundStatement bound;
     size_t bytes = 0;
-    TimeUs used_at = 0;
+    TimeUs last_used_at = 0;
   };
   using EntryList = std::list<Entry>;  // least recently used first
 
--- a/src/flightsql/terms.cpp
+++ b/src/flightsql/terms.cpp
@@ -215,7 +215,7 @@
   out.status = make_error(code, final_response_message(response), "sablelink",
                           error_info_reason(response.reason), response.retry_after_us);
   if (response.retry_after_us > 0)
-    out.trailers.emplace_back(kPushbackKey, std::to_string((response.retry_after_us + 999) / 1000));
+    out.trailers.emplace_back(kRetryPushbackKey, std::to_string((response.retry_after_us + 999) / 1000));
   return out;
 }
 
--- a/src/flightsql/terms.h
+++ b/src/flightsql/terms.h
@@ -23,7 +23,7 @@
 inline constexpr std::string_view kAttemptKey = "x-sablelink-attempt";    // number of the attempt, from 0
 inline constexpr std::string_view kPriorityKey = "x-sablelink-priority";  // 0 to 3
 inline constexpr std::string_view kGrantKey = "x-sablelink-grant-mb";
-inline constexpr std::string_view kAllowKey = "x-sablelink-allow-us";  // time-out of the attempt
+inline constexpr std::string_view kAttemptTimeoutKey = "x-sablelink-allow-us";  // time-out of the attempt
 // Metadata by which a client names its request; the gateway forwards it to the node.
 inline constexpr std::string_view kClientTagKey = "x-request-id";
 
@@ -38,7 +38,7 @@
 inline constexpr std::string_view kAttemptsKey = "x-sablelink-attempts";
 // "changed" where the response's schema differs from the FlightInfo's.
 inline constexpr std::string_view kSchemaKey = "x-sablelink-schema";
-inline constexpr std::string_view kPushbackKey = "grpc-retry-pushback-ms";
+inline constexpr std::string_view kRetryPushbackKey = "grpc-retry-pushback-ms";
 
 // Parses a key's value as a number; returns the fallback where the key is missing or its value isn't a
 // number.
--- a/tests/flightsql_test.cpp
+++ b/tests/flightsql_test.cpp
@@ -198,10 +198,10 @@
   EXPECT_EQ(r.status.code, rpc::Code::kUnavailable);
   EXPECT_EQ(read_details(r.status).retry_after_us, 250'500);
   EXPECT_EQ(read_details(r.status).reason, "DECIDED");
-  EXPECT_EQ(rpc::find_value(r.trailers, kPushbackKey), "251");
+  EXPECT_EQ(rpc::find_value(r.trailers, kRetryPushbackKey), "251");
   rejected.retry_after_us = 0;
   EXPECT_FALSE(read_details(map_final_response(rejected).status).retry_after_us);
-  EXPECT_EQ(rpc::find_value(map_final_response(rejected).trailers, kPushbackKey), "");
+  EXPECT_EQ(rpc::find_value(map_final_response(rejected).trailers, kRetryPushbackKey), "");
   const dispatch::FinalResponse failed{
       RequestStatus::kFailed, CompletionReason::kPolicyDecision, 0, 2, {13, "disk on fire"}};
   const ClientCallResult f = map_final_response(failed);
--- a/tests/schemas/schema_cache_test.cpp
+++ b/tests/schemas/schema_cache_test.cpp
@@ -66,7 +66,7 @@
   EXPECT_EQ(cache.bytes(), 0u);
 }
 
-TEST(SchemaCache, ColumnsAskedForBeforeAChange_AreNotCached) {
+TEST(SchemaCache, ColumnsRequestedBeforeAChange_AreNotCached) {
   SchemaCache cache({10, 1 << 20, 60 * kSecond});
   const SchemaCache::ChangeCount before = cache.change_count();
   cache.invalidate_tables({"photo"});
