--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -38,9 +38,9 @@
     const ClassSettings& k = settings.classes[c.cls];
     ++r.requests;
     r.requested_weight += k.priority_weight;
-    const TimeUs latency_us = c.ended_at - c.asked_at;
+    const TimeUs latency_us = c.ended_at - c.started_at;
     const double objective_us =
-        k.latency_objective_us + k.latency_objective_stretch * c.asked_work_us / k.threads;
+        k.latency_objective_us + k.latency_objective_stretch * c.requested_work_us / k.threads;
     switch (c.end) {
       case ClientRecord::End::kServed:
         ++r.served;
@@ -48,16 +48,16 @@
         r.achieved_weight +=
             latency_us <= objective_us ? k.priority_weight : k.priority_weight * k.late_weight_fraction;
         break;
-      case ClientRecord::End::kRefused:
+      case ClientRecord::End::kRejected:
         ++r.rejected;
         break;
       case ClientRecord::End::kFailed:
         ++r.failed;
         break;
-      case ClientRecord::End::kNoAnswer:
+      case ClientRecord::End::kNoResponse:
         ++r.unanswered;
         break;
-      case ClientRecord::End::kLeft:
+      case ClientRecord::End::kCancelled:
         ++r.cancelled;
         break;
       case ClientRecord::End::kUnreachable:
@@ -78,7 +78,7 @@
 
 }  // namespace
 
-double Report::service() const {
+double Report::achieved_weight_fraction() const {
   double requested = 0;
   double achieved = 0;
   for (const ClassReport& c : classes) {
@@ -88,7 +88,7 @@
   return requested > 0 ? achieved / requested : 0;
 }
 
-int Report::untouched_rule() const {
+int Report::rule_never_at_stake() const {
   for (int rule = 1; rule <= kRules; ++rule)
     if (counts.at_stake[rule] == 0) return rule;
   return 0;
@@ -122,16 +122,16 @@
   const auto add = [&](TimeUs at, int rank, std::function<void()> fn) {
     steps.push_back({at, rank, std::move(fn)});
   };
-  for (const NodeUnavailableRecord& t : records.told)
+  for (const NodeUnavailableRecord& t : records.unavailable)
     add(t.at, 0, [&] { rules.node_reported_unavailable(t.at, t.gateway, t.node); });
   for (const KillRecord& k : records.kills) {
     add(k.at, 0, [&] { rules.gateway_killed(k.at, k.gateway); });
-    if (k.up_at > 0) add(k.up_at, 0, [&] { rules.gateway_started(k.up_at, k.gateway); });
+    if (k.restarted_at > 0) add(k.restarted_at, 0, [&] { rules.gateway_started(k.restarted_at, k.gateway); });
   }
   for (const NodeKillRecord& k : records.node_kills) add(k.at, 0, [&] { rules.node_killed(k.at, k.node); });
   for (const ClientRecord& c : records.clients) {
     // Before any event of a node for this request, despite different clocks.
-    add(c.asked_at - settings.slack_us, 1, [&] { rules.request_started(c); });
+    add(c.started_at - settings.slack_us, 1, [&] { rules.request_started(c); });
     add(c.ended_at, 3, [&] { rules.request_ended(c); });
   }
   for (const NodeEvent& e : records.nodes) add(e.at, 2, [&] { apply(rules, e); });
@@ -171,7 +171,7 @@
   std::snprintf(line, sizeof(line),
                 "attempts %llu, retries %llu; service %.3f (achieved over requested priority weight)\n\n",
                 static_cast<unsigned long long>(report.attempts),
-                static_cast<unsigned long long>(report.retries), report.service());
+                static_cast<unsigned long long>(report.retries), report.achieved_weight_fraction());
   out += line;
   out += render_rules(report.findings, report.counts);
   size_t shown = 0;
--- a/src/audit/auditor.h
+++ b/src/audit/auditor.h
@@ -21,10 +21,10 @@
   TimeUs at = 0;
 };
 
-// A gateway was killed and, if up_at is set, restarted.
+// A gateway was killed and, if restarted_at is set, restarted.
 struct KillRecord {
   std::string gateway;
-  TimeUs at = 0, up_at = 0;
+  TimeUs at = 0, restarted_at = 0;
 };
 
 // A node was killed, which ended all its attempts.
@@ -36,7 +36,7 @@
 struct Records {
   std::vector<nodes::NodeEvent> nodes;
   std::vector<ClientRecord> clients;
-  std::vector<NodeUnavailableRecord> told;
+  std::vector<NodeUnavailableRecord> unavailable;
   std::vector<KillRecord> kills;
   std::vector<NodeKillRecord> node_kills;
 };
@@ -54,8 +54,8 @@
   uint64_t attempts = 0, retries = 0;
   bool clean() const { return findings.empty(); }
   // A rule that was never at stake, so that it can't have been broken; 0: none.
-  int untouched_rule() const;
-  double service() const;  // achieved fraction of the requested priority weight
+  int rule_never_at_stake() const;
+  double achieved_weight_fraction() const;  // achieved fraction of the requested priority weight
 };
 
 Report audit(const AuditSettings& settings, const Records& records);
--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -13,7 +13,7 @@
   return only.empty() || std::find(only.begin(), only.end(), value) != only.end();
 }
 
-bool may_run_on(const ClassSettings& c, const NodeFacts& node) {
+bool may_run_on(const ClassSettings& c, const NodeInfo& node) {
   return allows(c.allowed_zones, node.zone) && allows(c.allowed_engine_types, node.kind);
 }
 
@@ -39,7 +39,7 @@
   bool ended = false, executed = false;
   AttemptEnd end = AttemptEnd::kMayStillRun;
   std::shared_ptr<Client> client;  // null if its tag is unknown
-  const NodeFacts* facts = nullptr;
+  const NodeInfo* node_info = nullptr;
 };
 
 struct Rules::Request {
@@ -48,7 +48,7 @@
 };
 
 Rules::Rules(AuditSettings settings) : settings_(std::move(settings)) {
-  for (const NodeFacts& n : settings_.nodes) node_facts_[n.name] = &n;
+  for (const NodeInfo& n : settings_.nodes) node_info_[n.name] = &n;
 }
 
 Rules::~Rules() = default;
@@ -68,7 +68,7 @@
   auto c = std::make_shared<Client>();
   c->record = client;
   clients_[client.tag] = std::move(c);
-  request_times_[client.gateway].push_back(client.asked_at);
+  request_times_[client.gateway].push_back(client.started_at);
 }
 
 std::vector<Rules::Attempt*>* Rules::attempts_with_key(const Attempt& a) {
@@ -102,16 +102,17 @@
   state.ended = true;
   const ClientRecord& c = state.record;
   count_check(1, true);
-  if (c.answers > 1) add_finding(1, c.tag + " got " + std::to_string(c.answers) + " responses");
-  if (!c.fault.empty()) add_finding(1, c.tag + " got a wrong answer from " + c.gateway + ": " + c.fault);
-  if (c.end == ClientRecord::End::kNoAnswer && !was_down_between(c.gateway, c.asked_at, c.due_at))
+  if (c.responses > 1) add_finding(1, c.tag + " got " + std::to_string(c.responses) + " responses");
+  if (!c.response_error.empty())
+    add_finding(1, c.tag + " got a wrong answer from " + c.gateway + ": " + c.response_error);
+  if (c.end == ClientRecord::End::kNoResponse && !was_down_between(c.gateway, c.started_at, c.deadline))
     add_finding(
-        1, c.tag + " got no response from " + c.gateway + " in " + format_seconds(c.due_at - c.asked_at));
-  const TimeUs latest_end = c.due_at + settings_.rules.response_slack_us + settings_.slack_us;
-  if (c.answers > 0 && !c.may_end_late && c.ended_at > latest_end)
-    add_finding(1,
-                c.tag + " got its response " + format_seconds(c.ended_at - c.due_at) + " after its deadline");
-  if (c.end == ClientRecord::End::kRefused)
+        1, c.tag + " got no response from " + c.gateway + " in " + format_seconds(c.deadline - c.started_at));
+  const TimeUs latest_end = c.deadline + settings_.rules.response_slack_us + settings_.slack_us;
+  if (c.responses > 0 && !c.may_end_late && c.ended_at > latest_end)
+    add_finding(
+        1, c.tag + " got its response " + format_seconds(c.ended_at - c.deadline) + " after its deadline");
+  if (c.end == ClientRecord::End::kRejected)
     for (const Request* request : state.requests) check_rejection(*request);
 }
 
@@ -175,8 +176,8 @@
     a.client = client->second;
     if (r->attempts.empty()) a.client->requests.push_back(r.get());
   }
-  const auto facts = node_facts_.find(node);
-  if (facts != node_facts_.end()) a.facts = facts->second;
+  const auto node_info = node_info_.find(node);
+  if (node_info != node_info_.end()) a.node_info = node_info->second;
   r->attempts.push_back(std::move(created));
 
   if (a.client) {
@@ -197,7 +198,7 @@
   check_placement(a);
   const int unseen = attempt - std::max(r->max_attempt_number, 0) - 1;
   const TimeUs unseen_from = r->max_attempt_number >= 0 ? r->attempts[r->attempts.size() - 2]->started_at
-                             : a.client                 ? a.client->record.asked_at
+                             : a.client                 ? a.client->record.started_at
                                                         : at;
   if (attempt > std::max(r->max_attempt_number, 0)) check_budget(a, unseen, unseen_from);
   r->max_attempt_number = std::max(r->max_attempt_number, attempt);
@@ -225,8 +226,9 @@
 
 bool Rules::same_dedup_scope(const ClassSettings& c, const Attempt& a, const Attempt& b) const {
   if (c.dedup_scope == DedupScope::kAll) return true;
-  if (a.facts == nullptr || b.facts == nullptr) return false;
-  return c.dedup_scope == DedupScope::kZone ? a.facts->zone == b.facts->zone : a.facts->cell == b.facts->cell;
+  if (a.node_info == nullptr || b.node_info == nullptr) return false;
+  return c.dedup_scope == DedupScope::kZone ? a.node_info->zone == b.node_info->zone
+                                            : a.node_info->cell == b.node_info->cell;
 }
 
 // Rule 2, second part: a request that was executed is retried only if its class permits it.
@@ -288,7 +290,7 @@
     if (later) check_retry(*a, *b);
     if (b.get() == a) later = true;
   }
-  if (a->client && a->client->ended && a->client->record.end == ClientRecord::End::kRefused)
+  if (a->client && a->client->ended && a->client->record.end == ClientRecord::End::kRejected)
     check_rejection(request);
 }
 
@@ -305,8 +307,8 @@
 // removed.
 void Rules::check_drain(const Attempt& a) {
   const auto is_candidate = [&](const std::string& node) {
-    const auto facts = node_facts_.find(node);
-    return facts != node_facts_.end() && a.client && may_run_on(class_of(*a.client), *facts->second);
+    const auto node_info = node_info_.find(node);
+    return node_info != node_info_.end() && a.client && may_run_on(class_of(*a.client), *node_info->second);
   };
   bool at_stake = false;
   for (auto t = unavailable_since_.lower_bound({a.gateway, ""});
@@ -324,9 +326,12 @@
 // Rule 4: a node that is warming up isn't overloaded. Computed from the attempts sent, not from the node's
 // reports.
 void Rules::check_slow_start(const Attempt& a) {
-  if (settings_.rules.collapse_window_us <= 0 || a.facts == nullptr || a.facts->warm_after_us <= 0) return;
+  if (settings_.rules.collapse_window_us <= 0 || a.node_info == nullptr ||
+      a.node_info->slow_start_duration_us <= 0)
+    return;
   const auto it = warming_nodes_.find(a.node);
-  if (it == warming_nodes_.end() || a.started_at >= it->second.start + a.facts->warm_after_us) return;
+  if (it == warming_nodes_.end() || a.started_at >= it->second.start + a.node_info->slow_start_duration_us)
+    return;
   WarmingNode& warming = it->second;
   const bool notified = !settings_.node_starts_are_reported || warming.notified_gateways.contains(a.gateway);
   warming.window.push_back({a.started_at, a.work_us, notified});
@@ -339,10 +344,11 @@
     warming.window.pop_front();
   }
   const double capacity_fraction =
-      a.facts->cold_from +
-      (1 - a.facts->cold_from) * static_cast<double>(a.started_at - warming.start) / a.facts->warm_after_us;
-  const double work_limit_us = settings_.rules.collapse_load_multiple * capacity_fraction * a.facts->cores *
-                               settings_.rules.collapse_window_us;
+      a.node_info->slow_start_min_capacity_fraction + (1 - a.node_info->slow_start_min_capacity_fraction) *
+                                                          static_cast<double>(a.started_at - warming.start) /
+                                                          a.node_info->slow_start_duration_us;
+  const double work_limit_us = settings_.rules.collapse_load_multiple * capacity_fraction *
+                               a.node_info->cores * settings_.rules.collapse_window_us;
   count_check(4, warming.work_us > work_limit_us / 3);
   if (warming.work_us > work_limit_us && warming.gateways_responsible() && !warming.reported) {
     warming.reported = true;
@@ -370,7 +376,7 @@
                          ", which might still be running");
     const ClientRecord& first = b.client->record;
     const ClientRecord& second = a->client->record;
-    if (first.asked_at + settings_.slack_us < second.asked_at &&
+    if (first.started_at + settings_.slack_us < second.started_at &&
         (!b.client->ended || first.ended_at > a->started_at + settings_.slack_us))
       add_finding(5,
                   a->request + " of key " + key + " was sent before " + b.request + ", which arrived first");
@@ -379,11 +385,11 @@
 
 // Rule 6: attempts are sent only to nodes that their class permits.
 void Rules::check_placement(const Attempt& a) {
-  if (!a.client || a.facts == nullptr) return;
+  if (!a.client || a.node_info == nullptr) return;
   const ClassSettings& c = class_of(*a.client);
   if (c.allowed_zones.empty() && c.allowed_engine_types.empty()) return;
   count_check(6, true);
-  if (!may_run_on(c, *a.facts))
+  if (!may_run_on(c, *a.node_info))
     add_finding(6, a.request + " of class " + settings_.class_names[a.client->record.cls] + " was sent to " +
                        a.node + ", which its class does not permit");
 }
--- a/src/audit/rules.h
+++ b/src/audit/rules.h
@@ -24,20 +24,20 @@
 
 // One request of a client and its end. A retry by the client is another request.
 struct ClientRecord {
-  enum class End { kServed, kRefused, kFailed, kNoAnswer, kLeft, kUnreachable };
+  enum class End { kServed, kRejected, kFailed, kNoResponse, kCancelled, kUnreachable };
   static constexpr int kEnds = 6;
   std::string tag;  // unique in a run
   std::string gateway;
   int cls = 0;
   std::string key;  // ordering key; empty: none
-  double asked_work_us = 0;
-  TimeUs asked_at = 0, due_at = 0, ended_at = 0;
+  double requested_work_us = 0;
+  TimeUs started_at = 0, deadline = 0, ended_at = 0;
   // Number of final responses. A gRPC client can't observe more than one; other clients can.
-  int answers = 0;
-  End end = End::kNoAnswer;
+  int responses = 0;
+  End end = End::kNoResponse;
   bool may_end_late = false;  // a streamed response may end after the deadline
   // The error that the client found in the response; empty: none.
-  std::string fault;
+  std::string response_error;
 };
 
 // The end of a request whose response came from its gateway.
@@ -46,24 +46,24 @@
     case dispatch::RequestStatus::kServed:
       return ClientRecord::End::kServed;
     case dispatch::RequestStatus::kRejected:
-      return ClientRecord::End::kRefused;
+      return ClientRecord::End::kRejected;
     default:
       return ClientRecord::End::kFailed;
   }
 }
 
-struct NodeFacts {
+struct NodeInfo {
   std::string name;
   int zone = 0, kind = 0, cell = 0;
   double cores = 8;
-  double cold_from = 1;
-  TimeUs warm_after_us = 0;  // 0: no slow start
+  double slow_start_min_capacity_fraction = 1;
+  TimeUs slow_start_duration_us = 0;  // 0: no slow start
 };
 
 struct AuditSettings {
   std::vector<ClassSettings> classes;
   std::vector<std::string> class_names;
-  std::vector<NodeFacts> nodes;
+  std::vector<NodeInfo> nodes;
   Settings rules;  // only the settings that the rules depend on are read
   TimeUs slack_us = 50'000;
   // Whether node_start_reported() is called for each gateway that learns of a node's start; else all know at
@@ -162,7 +162,7 @@
   void check_budget(const Attempt& a, int unseen, TimeUs unseen_from);
 
   const AuditSettings settings_;
-  std::map<std::string, const NodeFacts*> node_facts_;
+  std::map<std::string, const NodeInfo*> node_info_;
   std::map<std::string, std::shared_ptr<Client>> clients_;  // by tag
   std::map<std::string, std::unique_ptr<Request>> requests_;
   // Attempts by incarnation of a gateway and ordering key, in order of their start.
--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -150,7 +150,7 @@
       const std::lock_guard lock(mutex_);
       for (size_t g = 0; g < gateways_.size(); ++g)
         for (const int n : draining)
-          records_.told.push_back({"g" + std::to_string(g), "n" + std::to_string(n), loop_.now()});
+          records_.unavailable.push_back({"g" + std::to_string(g), "n" + std::to_string(n), loop_.now()});
     }
     for (size_t g = 0; g < gateways_.size(); ++g) {
       write_gateway(g);
@@ -214,7 +214,7 @@
             gateways_[e.gateway].process->kill();
             pause(e.for_us);
             start_gateway(e.gateway);
-            kill.up_at = loop_.now();
+            kill.restarted_at = loop_.now();
             const std::lock_guard lock(mutex_);
             records_.kills.push_back(kill);
             break;
@@ -282,7 +282,7 @@
       r.tag = "q" + std::to_string(p.number) + "-" + std::to_string(turn);
       r.gateway = "g" + std::to_string(p.gateway);
       r.key = p.key;
-      r.asked_work_us = p.work_us;
+      r.requested_work_us = p.work_us;
       const auto patience =
           static_cast<TimeUs>(p.patience * script_.gateway.settings.classes[r.cls].request_timeout_us);
       flightsql::ClientOptions o;
@@ -300,8 +300,8 @@
       std::string sql = statement(t, p);
       const std::string asked = sql;
       flightsql::Client& to = *gateways_[p.gateway].client;
-      r.asked_at = loop_.now();
-      r.due_at = r.asked_at + patience;
+      r.started_at = loop_.now();
+      r.deadline = r.started_at + patience;
       const auto check = std::make_shared<nodes::AnswerCheck>(sql);
       flightsql::Client::OnBatch read = [check](const auto& schema, const auto& batch) {
         check->on_batch(schema, batch);
@@ -312,29 +312,29 @@
       else
         result = co_await to.query(std::move(sql), std::move(o), std::move(read));
       r.ended_at = loop_.now();
-      r.answers = result.from_gateway ? 1 : 0;
+      r.responses = result.from_gateway ? 1 : 0;
       if (!result.connected)
         r.end = ClientRecord::End::kUnreachable;
       else if (!result.from_gateway && leaves)
-        r.end = ClientRecord::End::kLeft;
+        r.end = ClientRecord::End::kCancelled;
       else if (!result.from_gateway)
-        r.end = ClientRecord::End::kNoAnswer;
+        r.end = ClientRecord::End::kNoResponse;
       else
         r.end = audit::end_of(result.verdict);
       const bool served = r.end == ClientRecord::End::kServed;
       if (!t.update)
-        r.fault = check->fault(served);
+        r.response_error = check->fault(served);
       else if (served)
-        r.fault = nodes::AnswerCheck::update_fault(asked, result.updated);
+        r.response_error = nodes::AnswerCheck::update_fault(asked, result.updated);
       {
         const std::lock_guard lock(mutex_);
         records_.clients.push_back(r);
-        clients_ << r.tag << '\t' << r.gateway << '\t' << t.cls << '\t' << r.asked_at - begin_ << '\t'
-                 << r.due_at - begin_ << '\t' << r.ended_at - begin_ << '\t' << static_cast<int>(r.end)
+        clients_ << r.tag << '\t' << r.gateway << '\t' << t.cls << '\t' << r.started_at - begin_ << '\t'
+                 << r.deadline - begin_ << '\t' << r.ended_at - begin_ << '\t' << static_cast<int>(r.end)
                  << '\t' << result.attempts << '\t' << rpc::code_name(result.status.code) << '\t'
                  << result.status.message << '\n';
       }
-      const bool again = r.end == ClientRecord::End::kRefused || r.end == ClientRecord::End::kUnreachable;
+      const bool again = r.end == ClientRecord::End::kRejected || r.end == ClientRecord::End::kUnreachable;
       if (!again || turn + 1 == t.tries) break;
       co_await sablelink::sleep_for(loop_, result.retry_after_us.value_or(200'000));
       p.gateway = (p.gateway + 1) % gateways_.size();
@@ -374,14 +374,14 @@
     s.rules = script_.gateway.settings;
     s.slack_us = 100'000;  // processes share two cores with their clients
     for (const Node& n : nodes_) {
-      audit::NodeFacts f;
+      audit::NodeInfo f;
       f.name = n.entry.name;
       f.zone = n.entry.zone;
       f.kind = n.entry.engine_type;
       f.cell = n.entry.cell;
       f.cores = script_.node.engine.cores;
-      f.cold_from = script_.node.engine.cold_from;
-      f.warm_after_us = script_.node.engine.warm_after_us;
+      f.slow_start_min_capacity_fraction = script_.node.engine.cold_from;
+      f.slow_start_duration_us = script_.node.engine.warm_after_us;
       s.nodes.push_back(f);
     }
     return s;
--- a/src/cli/badday.cpp
+++ b/src/cli/badday.cpp
@@ -79,7 +79,7 @@
     std::fprintf(stderr, "sablelink: the day itself went wrong: %s\n", result.trouble.c_str());
     return kError;
   }
-  if (const int rule = result.report.untouched_rule(); rule != 0) {
+  if (const int rule = result.report.rule_never_at_stake(); rule != 0) {
     std::fprintf(stderr, "sablelink: rule %d was never at stake on this day, so it proves nothing of it\n",
                  rule);
     return kError;
--- a/src/sim/defects.cpp
+++ b/src/sim/mutations.cpp
@@ -1,4 +1,4 @@
-#include "sim/defects.h"
+#include "sim/mutations.h"
 
 #include <array>
 #include <utility>
@@ -10,57 +10,58 @@
 namespace sablelink::sim {
 namespace {
 
-constexpr std::array<const char*, kDefects> kDefectNames = {"none",
-                                                            "doubled_send",
-                                                            "drop_forgotten",
-                                                            "answer_twice",
-                                                            "answer_never",
-                                                            "answer_late",
-                                                            "client_left",
-                                                            "drain_ignored",
-                                                            "grace_ignored",
-                                                            "unsafe_repeated",
-                                                            "keyed_anywhere",
-                                                            "order_ignored",
-                                                            "gap_ignored",
-                                                            "placement_ignored",
-                                                            "budget_ignored",
-                                                            "cold_ignored",
-                                                            "lost_timer",
-                                                            "batch_lost",
-                                                            "batch_doubled",
-                                                            "batches_mixed",
-                                                            "schema_of_another",
-                                                            "unread_kept",
-                                                            "plan_unbounded",
-                                                            "plan_stays"};
+constexpr std::array<const char*, kMutations> kMutationNames = {"none",
+                                                                "doubled_send",
+                                                                "drop_forgotten",
+                                                                "answer_twice",
+                                                                "answer_never",
+                                                                "answer_late",
+                                                                "client_left",
+                                                                "drain_ignored",
+                                                                "grace_ignored",
+                                                                "unsafe_repeated",
+                                                                "keyed_anywhere",
+                                                                "order_ignored",
+                                                                "gap_ignored",
+                                                                "placement_ignored",
+                                                                "budget_ignored",
+                                                                "cold_ignored",
+                                                                "lost_timer",
+                                                                "batch_lost",
+                                                                "batch_doubled",
+                                                                "batches_mixed",
+                                                                "schema_of_another",
+                                                                "unread_kept",
+                                                                "plan_unbounded",
+                                                                "plan_stays"};
 
 constexpr TimeUs kTimeoutExtensionUs = 300'000;
 
 // Stands between the dispatcher and its engine client.
 class MutatedTransport : public dispatch::EngineTransport {
  public:
-  MutatedTransport(Defect defect, dispatch::EngineTransport& inner) : defect_(defect), inner_(inner) {}
+  MutatedTransport(Mutation mutation, dispatch::EngineTransport& inner)
+      : mutation_(mutation), inner_(inner) {}
   void start(dispatch::AttemptId key, EngineId engine, const dispatch::AttemptSpec& order) override {
-    if (defect_ == Defect::kPlanningPinned && order.statement->kind == dispatch::ExecutionKind::kPlan) {
+    if (mutation_ == Mutation::kPlanningPinned && order.statement->kind == dispatch::ExecutionKind::kPlan) {
       if (pinned_engine_ == 0) pinned_engine_ = engine;
       engine = pinned_engine_;
     }
     inner_.start(key, engine, order);
-    if (defect_ == Defect::kDuplicateSend && ++count_ % 50 == 0) {
+    if (mutation_ == Mutation::kDuplicateSend && ++count_ % 50 == 0) {
       key.number += 100;
       inner_.start(key, engine, order);
     }
   }
   void cancel(dispatch::AttemptId key) override {
-    if (defect_ != Defect::kCancelNotSent) inner_.cancel(key);
+    if (mutation_ != Mutation::kCancelNotSent) inner_.cancel(key);
   }
   void resume(dispatch::AttemptId key) override { inner_.resume(key); }
   void check_health(uint32_t probe, EngineId engine) override { inner_.check_health(probe, engine); }
   void close_idle_connections(EngineId engine) override { inner_.close_idle_connections(engine); }
 
  private:
-  const Defect defect_;
+  const Mutation mutation_;
   dispatch::EngineTransport& inner_;
   uint64_t count_ = 0;
   EngineId pinned_engine_ = 0;
@@ -77,12 +78,12 @@
 
 }  // namespace
 
-// The contents of the gateway's previous response, for the defects that mix responses.
+// The contents of the gateway's previous response, for the mutations that mix responses.
 struct MutatedParts::PreviousResponse {
   std::string batch, schema;
 };
 
-const char* defect_name(Defect defect) { return kDefectNames[static_cast<int>(defect)]; }
+const char* mutation_name(Mutation mutation) { return kMutationNames[static_cast<int>(mutation)]; }
 
 // Drops every fiftieth timer.
 class MutatedParts::LossyClock : public Clock {
@@ -100,9 +101,9 @@
 
 class MutatedParts::MutatedCall : public rpc::ServerCall {
  public:
-  MutatedCall(Defect defect, uint64_t number, std::shared_ptr<rpc::ServerCall> inner,
+  MutatedCall(Mutation mutation, uint64_t number, std::shared_ptr<rpc::ServerCall> inner,
               std::shared_ptr<PreviousResponse> previous)
-      : defect_(defect),
+      : mutation_(mutation),
         affected_(number % 20 == 0),
         inner_(std::move(inner)),
         previous_(std::move(previous)) {}
@@ -112,7 +113,7 @@
   const std::string& peer() const override { return inner_->peer(); }
   std::optional<TimeUs> client_timeout_us() const override {
     std::optional<TimeUs> allowed = inner_->client_timeout_us();
-    if (allowed && defect_ == Defect::kTimeoutExtended) *allowed += kTimeoutExtensionUs;
+    if (allowed && mutation_ == Mutation::kTimeoutExtended) *allowed += kTimeoutExtensionUs;
     return allowed;
   }
   rpc::Awaitable<std::optional<std::string>> read() override { return inner_->read(); }
@@ -120,14 +121,14 @@
   rpc::Awaitable<bool> finish(rpc::Status status, rpc::Metadata trailers,
                               std::optional<std::string> last) override {
     const std::shared_ptr<rpc::ServerCall> inner = inner_;
-    const bool duplicate = affected_ && defect_ == Defect::kDuplicateResponse;
-    if (affected_ && defect_ == Defect::kResponseNeverSent && !inner->cancelled()) {
+    const bool duplicate = affected_ && mutation_ == Mutation::kDuplicateResponse;
+    if (affected_ && mutation_ == Mutation::kResponseNeverSent && !inner->cancelled()) {
       AsyncEvent until_cancelled;
       inner->on_cancelled([&until_cancelled] { until_cancelled.set(); });
       co_await until_cancelled.wait();
       co_return false;
     }
-    if (defect_ == Defect::kForeignSchema && last && inner->method().ends_with("GetFlightInfo")) {
+    if (mutation_ == Mutation::kForeignSchema && last && inner->method().ends_with("GetFlightInfo")) {
       arrow::flight::protocol::FlightInfo info;
       if (info.ParseFromString(*last)) std::swap(*info.mutable_schema(), previous_->schema);
       last = info.SerializeAsString();
@@ -136,9 +137,9 @@
       const bool retried = flightsql::find_number(trailers, flightsql::kAttemptsKey, 0) > 1;
       const std::string batch = *last;
       std::string extra;
-      if (retried && defect_ == Defect::kBatchLost) last.reset();
-      if (retried && defect_ == Defect::kBatchDuplicated) extra = batch;
-      if (retried && defect_ == Defect::kForeignBatch) extra = previous_->batch;
+      if (retried && mutation_ == Mutation::kBatchLost) last.reset();
+      if (retried && mutation_ == Mutation::kBatchDuplicated) extra = batch;
+      if (retried && mutation_ == Mutation::kForeignBatch) extra = previous_->batch;
       if (!extra.empty()) co_await inner->write(std::move(extra));
       previous_->batch = batch;
     }
@@ -152,20 +153,20 @@
     co_return sent;
   }
   void on_cancelled(std::function<void()> fn) override {
-    if (defect_ != Defect::kClientCancelIgnored) inner_->on_cancelled(std::move(fn));
+    if (mutation_ != Mutation::kClientCancelIgnored) inner_->on_cancelled(std::move(fn));
   }
   bool cancelled() const override { return inner_->cancelled(); }
 
  private:
-  const Defect defect_;
+  const Mutation mutation_;
   const bool affected_;
   const std::shared_ptr<rpc::ServerCall> inner_;
   const std::shared_ptr<PreviousResponse> previous_;
 };
 
-MutatedParts::MutatedParts(Defect defect, Actor& actor)
-    : defect_(defect), actor_(actor), previous_(std::make_shared<PreviousResponse>()) {
-  if (defect_ == Defect::kTimerLost) lossy_clock_ = std::make_unique<LossyClock>(actor_);
+MutatedParts::MutatedParts(Mutation mutation, Actor& actor)
+    : mutation_(mutation), actor_(actor), previous_(std::make_shared<PreviousResponse>()) {
+  if (mutation_ == Mutation::kTimerLost) lossy_clock_ = std::make_unique<LossyClock>(actor_);
 }
 
 MutatedParts::~MutatedParts() = default;
@@ -178,46 +179,46 @@
 void MutatedParts::mutate(config::GatewayConfig* config) const {
   Settings& s = config->settings;
   for (ClassSettings& c : s.classes) {
-    if (defect_ == Defect::kNonIdempotentRetried && c.idempotency == Idempotency::kNotIdempotent)
+    if (mutation_ == Mutation::kNonIdempotentRetried && c.idempotency == Idempotency::kNotIdempotent)
       c.idempotency = Idempotency::kIdempotent;
-    if (defect_ == Defect::kKeyedRetriedAnywhere && c.idempotency == Idempotency::kIdempotentWithKey)
+    if (mutation_ == Mutation::kKeyedRetriedAnywhere && c.idempotency == Idempotency::kIdempotentWithKey)
       c.dedup_scope = DedupScope::kAll;
-    if (defect_ == Defect::kKeyOrderIgnored) c.ordered_by_key = false;
-    if (defect_ == Defect::kPlacementIgnored) c.allowed_zones.clear();
+    if (mutation_ == Mutation::kKeyOrderIgnored) c.ordered_by_key = false;
+    if (mutation_ == Mutation::kPlacementIgnored) c.allowed_zones.clear();
   }
-  if (defect_ == Defect::kDrainGraceIgnored) s.drain_grace_us = 3600'000'000;
-  if (defect_ == Defect::kOrderingGapIgnored) s.ordering_gap_us = 0;
-  if (defect_ == Defect::kRetryBudgetIgnored) s.retry_budget_enabled = false;
-  if (defect_ == Defect::kSlowStartIgnored)
+  if (mutation_ == Mutation::kDrainGraceIgnored) s.drain_grace_us = 3600'000'000;
+  if (mutation_ == Mutation::kOrderingGapIgnored) s.ordering_gap_us = 0;
+  if (mutation_ == Mutation::kRetryBudgetIgnored) s.retry_budget_enabled = false;
+  if (mutation_ == Mutation::kSlowStartIgnored)
     s.collapse_window_us = 0, s.slow_start_min_capacity_fraction = 1, s.slow_start_duration_us = 0;
-  if (defect_ == Defect::kPlanningUnlimited)
+  if (mutation_ == Mutation::kPlanningUnlimited)
     config->planning.budget_base_calls = config->planning.max_concurrent_calls = 1'000'000;
   mutate(&config->engines);
 }
 
 void MutatedParts::mutate(std::vector<config::EngineConfig>* list) const {
   for (config::EngineConfig& n : *list) {
-    if (defect_ == Defect::kDrainIgnored) n.state = EndpointState::kReady;
-    if (defect_ == Defect::kSlowStartIgnored) n.started_at = 0;
+    if (mutation_ == Mutation::kDrainIgnored) n.state = EndpointState::kReady;
+    if (mutation_ == Mutation::kSlowStartIgnored) n.started_at = 0;
   }
 }
 
 service::TransportDecorator MutatedParts::decorate_transport() const {
-  if (defect_ != Defect::kDuplicateSend && defect_ != Defect::kCancelNotSent &&
-      defect_ != Defect::kPlanningPinned)
+  if (mutation_ != Mutation::kDuplicateSend && mutation_ != Mutation::kCancelNotSent &&
+      mutation_ != Mutation::kPlanningPinned)
     return {};
-  return [defect = defect_](dispatch::EngineTransport& inner) {
-    return std::make_unique<MutatedTransport>(defect, inner);
+  return [mutation = mutation_](dispatch::EngineTransport& inner) {
+    return std::make_unique<MutatedTransport>(mutation, inner);
   };
 }
 
 std::shared_ptr<rpc::ServerCall> MutatedParts::wrap_call(std::shared_ptr<rpc::ServerCall> call) {
-  if (defect_ == Defect::kNone) return call;
-  return std::make_shared<MutatedCall>(defect_, ++calls_, std::move(call), previous_);
+  if (mutation_ == Mutation::kNone) return call;
+  return std::make_shared<MutatedCall>(mutation_, ++calls_, std::move(call), previous_);
 }
 
 service::DispatcherFactory MutatedParts::make_dispatcher() const {
-  if (defect_ != Defect::kUnreadBytesLeaked) return {};
+  if (mutation_ != Mutation::kUnreadBytesLeaked) return {};
   return [](auto&&... parts) -> std::unique_ptr<dispatch::RequestDispatcher> {
     return std::make_unique<LeakingDispatcher>(parts...);
   };
--- a/src/sim/defects.h
+++ b/src/sim/mutations.h
@@ -1,5 +1,5 @@
 // Mutation testing of the simulation: wraps the parts of a gateway, or changes its configuration and node
-// lists, so that one defect of sim/run.h takes effect. Without a defect, nothing is changed.
+// lists, so that one mutation of sim/run.h takes effect. Without a mutation, nothing is changed.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
 // The mutated parts of one incarnation of one gateway.
 class MutatedParts {
  public:
-  MutatedParts(Defect defect, Actor& actor);
+  MutatedParts(Mutation mutation, Actor& actor);
   ~MutatedParts();
 
   void mutate(config::GatewayConfig* config) const;
@@ -33,7 +33,7 @@
   class MutatedCall;
   struct PreviousResponse;
 
-  const Defect defect_;
+  const Mutation mutation_;
   Actor& actor_;
   std::unique_ptr<LossyClock> lossy_clock_;
   uint64_t calls_ = 0;
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -73,7 +73,7 @@
   attempts_in_flight_[{request, number}] = false;
   const std::string tag = client_tag(call);
   const auto sent = client_requests_.find(tag);
-  const double work = sent != client_requests_.end() ? sent->second.asked_work_us : 0;
+  const double work = sent != client_requests_.end() ? sent->second.requested_work_us : 0;
   if (tag.starts_with(flightsql::kPlanTag) && sent == client_requests_.end())
     violation(call.client + " sends a planning call that it hasn't logged: " + tag);
   log_event(call.client + " sends " + request + " attempt " + std::to_string(number) + " (" + tag + ") to " +
@@ -100,9 +100,9 @@
   c.tag = tag;
   c.gateway = gateway;
   c.cls = planning_class_;
-  c.asked_work_us = kPlanningWorkUs;
-  c.asked_at = now;
-  c.due_at = now + planning_.call_timeout_us;
+  c.requested_work_us = kPlanningWorkUs;
+  c.started_at = now;
+  c.deadline = now + planning_.call_timeout_us;
   client_requests_[tag] = c;
   rules_.request_started(c);
 }
@@ -123,7 +123,7 @@
   accepted.gateway_incarnation = incarnations_[call.server];
   log_event(call.server + " receives " + tag);
   ClientRecord c = sent != client_requests_.end() ? sent->second : ended->second;
-  c.asked_at = world_.now();  // counted from its arrival, as the gateway does
+  c.started_at = world_.now();  // counted from its arrival, as the gateway does
   rules_.request_started(c);
   if (ended == ended_before_arrival_.end()) return;
   ended_at_client_[tag] = std::move(ended->second);
@@ -276,14 +276,14 @@
   client.ended_at = world_.now();
   const auto it = accepted_.find(client.tag);
   if (result.from_gateway) {
-    client.answers = 1;
+    client.responses = 1;
     client.end = audit::end_of(result.verdict);
   } else if (cancelled) {
-    client.end = ClientRecord::End::kLeft;
+    client.end = ClientRecord::End::kCancelled;
   } else if (it != accepted_.end() && result.status.code == rpc::Code::kDeadlineExceeded &&
              result.rows == 0 &&  // a streamed response may end after the deadline
              !is_excused(it->second, world_.now())) {
-    client.end = ClientRecord::End::kNoAnswer;
+    client.end = ClientRecord::End::kNoResponse;
   } else {
     client.end = ClientRecord::End::kUnreachable;
   }
--- a/src/sim/observer.h
+++ b/src/sim/observer.h
@@ -21,11 +21,11 @@
 namespace sablelink::sim {
 
 // The number of client requests by their end.
-struct Ends {
+struct EndCounts {
   std::array<uint64_t, audit::ClientRecord::kEnds> count{};
   uint64_t& operator[](audit::ClientRecord::End end) { return count[static_cast<size_t>(end)]; }
   uint64_t operator[](audit::ClientRecord::End end) const { return count[static_cast<size_t>(end)]; }
-  Ends& operator+=(const Ends& other) {
+  EndCounts& operator+=(const EndCounts& other) {
     for (size_t i = 0; i < count.size(); ++i) count[i] += other.count[i];
     return *this;
   }
@@ -73,7 +73,7 @@
 
   const std::vector<audit::Finding>& findings() const { return findings_; }
   const audit::Rules& rules() const { return rules_; }
-  const Ends& ends() const { return ends_; }
+  const EndCounts& ends() const { return ends_; }
   uint64_t planning_call_count() const { return planning_call_count_; }
 
  private:
@@ -114,7 +114,7 @@
   std::map<std::string, std::vector<std::pair<TimeUs, TimeUs>>> stalls_;
   std::vector<audit::Finding> findings_;
   size_t copied_rule_findings_ = 0;  // number of findings of the rules that are in findings_
-  Ends ends_;
+  EndCounts ends_;
 };
 
 }  // namespace sablelink::sim
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -16,7 +16,7 @@
 #include "nodes/content.h"
 #include "nodes/stand_in.h"
 #include "service/gateway_core.h"
-#include "sim/defects.h"
+#include "sim/mutations.h"
 #include "sim/network.h"
 #include "sim/world.h"
 
@@ -160,7 +160,7 @@
   Simulation(const Scenario& scenario, const RunOptions& options)
       : scenario_(scenario),
         options_(options),
-        event_log_(options.keep_account),
+        event_log_(options.keep_event_log),
         world_(scenario.seed, event_log_),
         config_(base_config(scenario)),
         observer_(world_, audit_settings(), config_.planning, config_.planning_class),
@@ -182,15 +182,15 @@
     for (int i = 0; i < scenario_.gateways; ++i) add_gateway(i);
     for (int i = 0; i < scenario_.client_processes; ++i) add_client_process(i);
     for (const RequestEvent& r : scenario_.requests) schedule_request(r);
-    for (const FaultEvent& f : scenario_.troubles) {
-      if (f.kind == Trouble::kHotKey) schedule_hot_key_requests(f);
+    for (const FaultEvent& f : scenario_.faults) {
+      if (f.kind == FaultKind::kHotKey) schedule_hot_key_requests(f);
       world_.at(start_time_ + f.at, [this, f] { begin_fault(f); });
     }
     TimeUs end = start_time_ + scenario_.duration_us;
-    for (const FaultEvent& f : scenario_.troubles) {
-      const int repetitions = f.kind == Trouble::kRollingDeploy           ? scenario_.nodes
-                              : f.kind == Trouble::kGatewayRollingRestart ? scenario_.gateways
-                                                                          : 1;
+    for (const FaultEvent& f : scenario_.faults) {
+      const int repetitions = f.kind == FaultKind::kRollingDeploy           ? scenario_.nodes
+                              : f.kind == FaultKind::kGatewayRollingRestart ? scenario_.gateways
+                                                                            : 1;
       end = std::max(end, start_time_ + f.at + f.duration * repetitions);
     }
     TimeUs next_check_at = end + kSettleCheckIntervalUs;
@@ -210,7 +210,7 @@
 
     RunResult result;
     result.findings = observer_.findings();
-    result.account = event_log_.text();
+    result.event_log = event_log_.text();
     result.digest = event_log_.digest();
     result.line_count = event_log_.line_count();
     result.steps = world_.steps();
@@ -220,12 +220,12 @@
     for (const Gateway& g : gateways_) {
       if (!g.core) continue;
       const dispatch::DispatcherCounters& c = g.core->dispatcher().counters();
-      result.streams += c.streamed_responses;
-      result.bound_reached += c.buffer_limit_reached;
-      result.left_unread += c.disconnected_unread;
+      result.streamed_responses += c.streamed_responses;
+      result.buffer_limit_reached += c.buffer_limit_reached;
+      result.cancelled_unread += c.disconnected_unread;
     }
-    result.plans = observer_.planning_call_count();
-    result.further_attempts = observer_.rules().retries();
+    result.planning_calls = observer_.planning_call_count();
+    result.retries = observer_.rules().retries();
     result.counts = observer_.rules().counts();
     return result;
   }
@@ -275,13 +275,13 @@
     a.slack_us = 0;
     a.node_starts_are_reported = true;
     for (int i = 0; i < scenario_.nodes; ++i) {
-      audit::NodeFacts f;
+      audit::NodeInfo f;
       f.name = node_name(i);
       f.zone = i % scenario_.zones;
       f.cell = i / 2;
       f.cores = scenario_.node_cores;
-      f.cold_from = config_.settings.slow_start_min_capacity_fraction;
-      f.warm_after_us = config_.settings.slow_start_duration_us;
+      f.slow_start_min_capacity_fraction = config_.settings.slow_start_min_capacity_fraction;
+      f.slow_start_duration_us = config_.settings.slow_start_duration_us;
       a.nodes.push_back(f);
     }
     return a;
@@ -356,7 +356,7 @@
     report_node_list(g, config.engines);
     RandomStream random = world_.stream("gateway/" + g.name + "/" + std::to_string(g.incarnation));
     const auto seeds = service::GatewaySeeds::draw([&random] { return random.next(); });
-    g.parts = std::make_unique<MutatedParts>(options_.defect, *g.actor);
+    g.parts = std::make_unique<MutatedParts>(options_.mutation, *g.actor);
     g.parts->mutate(&config);
     service::GatewayDependencies dependencies{world_.executor(), g.parts->clock(), *g.channels, *g.log};
     dependencies.decorate_transport = g.parts->decorate_transport();
@@ -516,9 +516,9 @@
       c.gateway = gateway_name(static_cast<int>(gateway));
       c.cls = config_.class_index(r.cls);
       c.key = r.key;
-      c.asked_work_us = r.work_us;
-      c.asked_at = world_.now();
-      c.due_at = c.asked_at + remaining;
+      c.requested_work_us = r.work_us;
+      c.started_at = world_.now();
+      c.deadline = c.started_at + remaining;
       flightsql::ClientOptions o;
       o.timeout_us = remaining;
       o.dial_timeout_us = std::min<TimeUs>(remaining, 300 * kMs);
@@ -549,20 +549,22 @@
       const flightsql::QueryResult result =
           co_await to->query(std::move(text), std::move(o), std::move(read));
       const bool served = result.from_gateway && result.verdict == dispatch::RequestStatus::kServed;
-      c.fault = check->fault(served);
-      if (c.fault.empty() && result.has_schema && result.promised && *result.promised != result.schema)
-        c.fault = "its schema differs from that of its ticket";
-      if (c.fault.empty() && result.schema_changed) c.fault = "its schema is reported as changed";
+      c.response_error = check->fault(served);
+      if (c.response_error.empty() && result.has_schema && result.promised &&
+          *result.promised != result.schema)
+        c.response_error = "its schema differs from that of its ticket";
+      if (c.response_error.empty() && result.schema_changed)
+        c.response_error = "its schema is reported as changed";
       observer_.client_request_ended(c, result, *cancelled);
       const bool not_executed = result.from_gateway && result.verdict == dispatch::RequestStatus::kRejected;
       // A client retries if nothing was executed (the request was rejected) or if its class is idempotent; at
       // once if it cancelled the request itself.
       const bool idempotent = r.cls == "lookup" || r.cls == "report" || r.cls == "bound";
       if (served || !(not_executed || idempotent)) break;
-      remaining = c.due_at - world_.now();
+      remaining = c.deadline - world_.now();
       const TimeUs wait = *cancelled ? 0 : result.retry_after_us.value_or(50 * kMs);
       if (wait > 0) co_await sleep_for(*client_process.actor, wait);
-      remaining = c.due_at - world_.now();
+      remaining = c.deadline - world_.now();
       gateway = (gateway + 1) % gateways_.size();
     }
     --active_clients_;
@@ -629,29 +631,29 @@
   }
 
   void begin_fault(const FaultEvent& f) {
-    world_.log_event(std::string("fault ") + trouble_name(f.kind) + " " + std::to_string(f.target) + "/" +
+    world_.log_event(std::string("fault ") + fault_name(f.kind) + " " + std::to_string(f.target) + "/" +
                      std::to_string(f.peer) + " for " + std::to_string(f.duration) + " us");
     Node& n = node_of(f);
     const std::string peer_gateway = gateway_name(f.peer % scenario_.gateways);
     Gateway& gateway = gateway_of(f.target);
     switch (f.kind) {
-      case Trouble::kNodeCrash:
-      case Trouble::kNodePowerLoss:
-        crash(n, f.duration, f.kind == Trouble::kNodePowerLoss);
+      case FaultKind::kNodeCrash:
+      case FaultKind::kNodePowerLoss:
+        crash(n, f.duration, f.kind == FaultKind::kNodePowerLoss);
         break;
-      case Trouble::kNodeHang:
+      case FaultKind::kNodeHang:
         inject_node_fault(f, nodes::FaultKind::kHang);
         break;
-      case Trouble::kNodeErrors:
+      case FaultKind::kNodeErrors:
         inject_node_fault(f, nodes::FaultKind::kErrors);
         break;
-      case Trouble::kNodeNeverResponds:
+      case FaultKind::kNodeNeverResponds:
         inject_node_fault(f, nodes::FaultKind::kLostAnswers);
         break;
-      case Trouble::kNodeSlow:
+      case FaultKind::kNodeSlow:
         inject_node_fault(f, nodes::FaultKind::kSlow, f.value);
         break;
-      case Trouble::kNodeGradualSlowdown:
+      case FaultKind::kNodeGradualSlowdown:
         for (int step = 1; step <= 4; ++step) {
           FaultEvent part = f;
           part.duration = f.duration / 4;
@@ -660,97 +662,97 @@
                        [this, part, value] { inject_node_fault(part, nodes::FaultKind::kSlow, value); });
         }
         break;
-      case Trouble::kNodeRejects:
+      case FaultKind::kNodeRejects:
         inject_node_fault(f, nodes::FaultKind::kRefuse);
         break;
-      case Trouble::kMemoryShortage:
+      case FaultKind::kMemoryShortage:
         inject_node_fault(f, nodes::FaultKind::kMemoryShort, f.value);
         break;
-      case Trouble::kLoadReportsStale:
+      case FaultKind::kLoadReportsStale:
         inject_node_fault(f, nodes::FaultKind::kStaleReports);
         break;
-      case Trouble::kDrain:
-      case Trouble::kDrainReportedLate:
-        drain(n, f.duration, f.kind == Trouble::kDrainReportedLate);
+      case FaultKind::kDrain:
+      case FaultKind::kDrainReportedLate:
+        drain(n, f.duration, f.kind == FaultKind::kDrainReportedLate);
         break;
-      case Trouble::kRollingDeploy:
+      case FaultKind::kRollingDeploy:
         for (size_t i = 0; i < nodes_.size(); ++i)
           world_.after(f.duration * static_cast<TimeUs>(i),
                        [this, i, f] { drain(nodes_[i], std::min<TimeUs>(f.duration, 400 * kMs), false); });
         break;
-      case Trouble::kZoneLoss:
+      case FaultKind::kZoneLoss:
         for (Node& node : nodes_)
           if (node.zone == f.target % scenario_.zones) crash(node, f.duration, false);
         break;
-      case Trouble::kAllNodesDown:
+      case FaultKind::kAllNodesDown:
         // They restart together, or one by one: the first one then gets the entire load while warming up.
         for (size_t i = 0; i < nodes_.size(); ++i)
           crash(nodes_[i], f.duration + (f.peer % 2 != 0 ? static_cast<TimeUs>(i) * 300 * kMs : 0), false);
         break;
-      case Trouble::kLinkDelay:
+      case FaultKind::kLinkDelay:
         apply_for_duration(f, [this, name = n.name, delay_us = static_cast<TimeUs>(f.value * kMs)](bool on) {
           network_.set_added_delay(name, on ? delay_us : 0);
         });
         break;
-      case Trouble::kLinkLost:
-      case Trouble::kLinkStall:
-        network_.interrupt(peer_gateway, n.name, f.duration, f.kind == Trouble::kLinkStall);
+      case FaultKind::kLinkLost:
+      case FaultKind::kLinkStall:
+        network_.interrupt(peer_gateway, n.name, f.duration, f.kind == FaultKind::kLinkStall);
         break;
-      case Trouble::kConnectionReset:
+      case FaultKind::kConnectionReset:
         network_.reset(peer_gateway, n.name);
         break;
-      case Trouble::kConnectionRefused:
+      case FaultKind::kConnectionRefused:
         apply_for_duration(f, [this, name = n.name](bool on) { network_.refuse_connections(name, on); });
         network_.reset("", n.name);
         break;
-      case Trouble::kConnectTimeout:
+      case FaultKind::kConnectTimeout:
         apply_for_duration(f, [this, name = n.name](bool on) { network_.blackhole(name, on); });
         network_.reset("", n.name);
         break;
-      case Trouble::kResponseLost:
+      case FaultKind::kResponseLost:
         network_.lose_responses(n.name, static_cast<int>(f.value));
         break;
-      case Trouble::kGatewayCrash:
+      case FaultKind::kGatewayCrash:
         crash(gateway, f.duration);
         break;
-      case Trouble::kGatewayStaleStart:
+      case FaultKind::kGatewayStaleStart:
         if (!gateway.core) break;
         gateway.startup_list = list_for(gateway);
         gateway.discovery_down_until = world_.now() + f.duration + static_cast<TimeUs>(f.value * kMs);
         crash(gateway, f.duration);
         break;
-      case Trouble::kGatewayRollingRestart:
+      case FaultKind::kGatewayRollingRestart:
         for (size_t i = 0; i < gateways_.size(); ++i)
           world_.after(f.duration * static_cast<TimeUs>(i), [this, i] { crash(gateways_[i], kRestartUs); });
         break;
-      case Trouble::kGatewayStall:
+      case FaultKind::kGatewayStall:
         if (!gateway.core) break;
         observer_.gateway_stalled(gateway.name, world_.now() + f.duration);
         gateway.actor->stall(f.duration);
         break;
-      case Trouble::kClockJump:
+      case FaultKind::kClockJump:
         if (!gateway.core) break;
         observer_.clock_jumped(gateway.name, f.duration);
         gateway.actor->advance_clock(f.duration);
         break;
-      case Trouble::kDiscoveryOutage:
+      case FaultKind::kDiscoveryOutage:
         gateway.discovery_down_until = world_.now() + f.duration;
         break;
-      case Trouble::kNodeListPartial:
-      case Trouble::kNodeListDuplicates:
-        (f.kind == Trouble::kNodeListPartial ? gateway.partial_list_until : gateway.duplicate_list_until) =
+      case FaultKind::kNodeListPartial:
+      case FaultKind::kNodeListDuplicates:
+        (f.kind == FaultKind::kNodeListPartial ? gateway.partial_list_until : gateway.duplicate_list_until) =
             world_.now() + f.duration;
         if (gateway.core) schedule_list(gateway);
         world_.after(f.duration, [this, &gateway] {
           if (gateway.core) schedule_list(gateway);
         });
         break;
-      case Trouble::kHotKey:
+      case FaultKind::kHotKey:
         break;  // scheduled at the start of the run
-      case Trouble::kEarlyCancels:
+      case FaultKind::kEarlyCancels:
         early_cancels_until_ = world_.now() + f.duration;
         break;
-      case Trouble::kClientConnectionReset:
+      case FaultKind::kClientConnectionReset:
         network_.reset("desk" + std::to_string(f.target % scenario_.client_processes), "");
         break;
     }
@@ -802,7 +804,7 @@
 
   const Scenario& scenario_;
   const RunOptions& options_;
-  Account event_log_;
+  EventLog event_log_;
   World world_;
   const config::GatewayConfig config_;
   Observer observer_;
@@ -821,11 +823,11 @@
   return Simulation(scenario, options).run();
 }
 
-void count_pairs(const Scenario& scenario, Pairs* pairs) {
-  for (size_t i = 0; i < scenario.troubles.size(); ++i) {
-    for (size_t k = i; k < scenario.troubles.size(); ++k) {
-      const FaultEvent& a = scenario.troubles[i];
-      const FaultEvent& b = scenario.troubles[k];
+void count_fault_pairs(const Scenario& scenario, FaultPairs* pairs) {
+  for (size_t i = 0; i < scenario.faults.size(); ++i) {
+    for (size_t k = i; k < scenario.faults.size(); ++k) {
+      const FaultEvent& a = scenario.faults[i];
+      const FaultEvent& b = scenario.faults[k];
       if (i != k && (a.at > b.at + b.duration || b.at > a.at + a.duration)) continue;
       const int low = std::min(static_cast<int>(a.kind), static_cast<int>(b.kind));
       const int high = std::max(static_cast<int>(a.kind), static_cast<int>(b.kind));
@@ -837,7 +839,7 @@
 Scenario shrink(const Scenario& scenario, const RunOptions& options, int rule, int max_runs) {
   Scenario best = scenario;
   RunOptions shrink_options = options;
-  shrink_options.keep_account = false;
+  shrink_options.keep_event_log = false;
   shrink_options.stop_at_finding = true;
   int runs = 0;
   const auto still_fails = [&](const Scenario& s) {
@@ -860,9 +862,9 @@
       }
     }
   };
-  remove_parts(&Scenario::troubles);
+  remove_parts(&Scenario::faults);
   remove_parts(&Scenario::requests);
-  remove_parts(&Scenario::troubles);
+  remove_parts(&Scenario::faults);
   return best;
 }
 
--- a/src/sim/run.h
+++ b/src/sim/run.h
@@ -14,7 +14,7 @@
 
 // Mutations of the gateway, to test that the simulation finds defects. Each one is placed between the parts
 // of a gateway or in its inputs; the gateway's code isn't changed.
-enum class Defect {
+enum class Mutation {
   kNone,
   kDuplicateSend,         // some attempts are sent twice
   kCancelNotSent,         // nodes aren't notified when an attempt is cancelled
@@ -40,34 +40,34 @@
   kPlanningUnlimited,     // the number of planning calls isn't limited
   kPlanningPinned,        // all planning calls go to the node of the first one
 };
-constexpr int kDefects = 24;
-const char* defect_name(Defect defect);
+constexpr int kMutations = 24;
+const char* mutation_name(Mutation mutation);
 
 struct RunOptions {
-  Defect defect = Defect::kNone;
-  bool keep_account = false;
+  Mutation mutation = Mutation::kNone;
+  bool keep_event_log = false;
   bool stop_at_finding = false;
 };
 
 struct RunResult {
   std::vector<audit::Finding> findings;  // rule 0: a property outside the seven rules
-  std::string account;                   // if kept
+  std::string event_log;                 // if kept
   uint64_t digest = 0;                   // of the event log, kept or not
   uint64_t steps = 0, line_count = 0;
   TimeUs simulated_us = 0;
-  Ends ends;
-  uint64_t attempts = 0, further_attempts = 0, plans = 0;
+  EndCounts ends;
+  uint64_t attempts = 0, retries = 0, planning_calls = 0;
   // Of the last incarnation of each gateway: streamed responses, those of them that were streamed because the
   // total buffer limit was reached, and clients that cancelled with bytes unread.
-  uint64_t streams = 0, bound_reached = 0, left_unread = 0;
+  uint64_t streamed_responses = 0, buffer_limit_reached = 0, cancelled_unread = 0;
   audit::RuleCounts counts;
 };
 
 RunResult run(const Scenario& scenario, const RunOptions& options = {});
 
 // The number of pairs of faults that overlap in time, by their kinds, at [a][b] with a <= b.
-using Pairs = std::array<std::array<uint32_t, kTroubles>, kTroubles>;
-void count_pairs(const Scenario& scenario, Pairs* pairs);
+using FaultPairs = std::array<std::array<uint32_t, kFaultKinds>, kFaultKinds>;
+void count_fault_pairs(const Scenario& scenario, FaultPairs* pairs);
 
 // Reduces a scenario that breaks a rule: removes faults and requests as long as it still breaks the same
 // rule, with at most `max_runs` runs.
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -12,7 +12,7 @@
 
 constexpr TimeUs kMs = 1000, kSecond = 1'000'000;
 
-constexpr std::array<const char*, kTroubles> kFaultNames = {
+constexpr std::array<const char*, kFaultKinds> kFaultNames = {
     "node_crash",   "node_silence",   "node_hang",     "node_errors",   "answer_never",  "node_slow",
     "node_ageing",  "node_refuses",   "reports_stale", "drain",         "drain_late",    "deploy",
     "zone_loss",    "all_down",       "link_slow",     "link_cut",      "link_stalls",   "reset",
@@ -133,7 +133,7 @@
   RandomStream random(s.seed, stream_name("trouble", number));
   FaultEvent fault;
   fault.number = number;
-  fault.kind = static_cast<Trouble>(random.below(kTroubles));
+  fault.kind = static_cast<FaultKind>(random.below(kFaultKinds));
   fault.at = random.between(500 * kMs, s.duration_us * 3 / 4);
   const TimeUs in_fault_burst = random.between(0, 500 * kMs);
   if (random.chance(0.7) && traits.fault_burst_at > 0) fault.at = traits.fault_burst_at + in_fault_burst;
@@ -141,34 +141,34 @@
   fault.target = static_cast<int>(random.below(64));
   fault.peer = static_cast<int>(random.below(64));
   switch (fault.kind) {
-    case Trouble::kNodeSlow:
-    case Trouble::kNodeGradualSlowdown:
+    case FaultKind::kNodeSlow:
+    case FaultKind::kNodeGradualSlowdown:
       fault.value = 2 + 8 * random.uniform();
       break;
-    case Trouble::kLinkDelay:
+    case FaultKind::kLinkDelay:
       fault.value = 5 + 200 * random.uniform();  // ms
       break;
-    case Trouble::kResponseLost:
+    case FaultKind::kResponseLost:
       fault.value = static_cast<double>(random.between(1, 8));
       break;
-    case Trouble::kHotKey:
+    case FaultKind::kHotKey:
       fault.value = static_cast<double>(random.between(20, 60));  // additional requests
       break;
-    case Trouble::kMemoryShortage:
+    case FaultKind::kMemoryShortage:
       fault.value = 0.01 + 0.2 * random.uniform();
       break;
-    case Trouble::kGatewayStaleStart:
+    case FaultKind::kGatewayStaleStart:
       fault.value = static_cast<double>(random.between(50, 1000));  // ms
       break;
-    case Trouble::kEarlyCancels:
+    case FaultKind::kEarlyCancels:
       fault.value = 0.5;
       break;
-    case Trouble::kGatewayStall:
-    case Trouble::kClockJump:
+    case FaultKind::kGatewayStall:
+    case FaultKind::kClockJump:
       fault.duration = random.between(5 * kMs, 1500 * kMs);
       break;
-    case Trouble::kRollingDeploy:
-    case Trouble::kGatewayRollingRestart:
+    case FaultKind::kRollingDeploy:
+    case FaultKind::kGatewayRollingRestart:
       fault.duration = random.between(200 * kMs, 800 * kMs);  // per node or gateway
       break;
     default:
@@ -188,7 +188,7 @@
 
 }  // namespace
 
-const char* trouble_name(Trouble trouble) { return kFaultNames[static_cast<int>(trouble)]; }
+const char* fault_name(FaultKind kind) { return kFaultNames[static_cast<int>(kind)]; }
 
 Scenario make_scenario(uint64_t seed) {
   Scenario s;
@@ -203,10 +203,10 @@
   const ScenarioTraits traits = traits_of(s);
   for (uint64_t i = 1; i <= requests; ++i) s.requests.push_back(make_request(s, traits, i));
   const auto faults = static_cast<uint64_t>(random.between(3, 8));
-  for (uint64_t i = 1; i <= faults; ++i) s.troubles.push_back(make_fault(s, traits, i));
+  for (uint64_t i = 1; i <= faults; ++i) s.faults.push_back(make_fault(s, traits, i));
   if (traits.heavy_load) {
-    FaultEvent& first = s.troubles.front();
-    first.kind = Trouble::kAllNodesDown;
+    FaultEvent& first = s.faults.front();
+    first.kind = FaultKind::kAllNodesDown;
     first.at = traits.fault_burst_at;
     first.duration = 300 * kMs + first.duration / 8;
     first.peer |= 1;
@@ -262,20 +262,20 @@
     r.reject_unknown_keys();
     s.requests.push_back(std::move(e));
   }
-  std::vector<std::pair<std::string, Trouble>> kinds;
-  for (int i = 0; i < kTroubles; ++i) kinds.emplace_back(kFaultNames[i], static_cast<Trouble>(i));
+  std::vector<std::pair<std::string, FaultKind>> kinds;
+  for (int i = 0; i < kFaultKinds; ++i) kinds.emplace_back(kFaultNames[i], static_cast<FaultKind>(i));
   next = 1'000'000;
   for (config::Section& fault : root.tables("trouble")) {
     FaultEvent e;
     e.number = static_cast<uint64_t>(fault.integer("number", 0, INT64_MAX, static_cast<int64_t>(next++)));
-    e.kind = fault.one_of<Trouble>("kind", kinds, std::nullopt);
+    e.kind = fault.one_of<FaultKind>("kind", kinds, std::nullopt);
     e.at = fault.duration("at", 0);
     e.duration = fault.duration("for", kSecond);
     e.target = static_cast<int>(fault.integer("target", 0, 100'000, 0));
     e.peer = static_cast<int>(fault.integer("second", 0, 100'000, 0));
     e.value = fault.number("value", 0, 1e9, 0);
     fault.reject_unknown_keys();
-    s.troubles.push_back(e);
+    s.faults.push_back(e);
   }
   root.reject_unknown_keys();
   return s;
@@ -288,9 +288,9 @@
                     "\ndesks = " + std::to_string(s.client_processes) +
                     "\ncores = " + format_number(s.node_cores) + "\nlength = " + format_time(s.duration_us) +
                     "\nprobes = " + (s.health_checks ? "true" : "false") + "\n";
-  for (const FaultEvent& fault : s.troubles) {
+  for (const FaultEvent& fault : s.faults) {
     out += "\n[[trouble]]\nnumber = " + std::to_string(fault.number) + "\nkind = \"" +
-           trouble_name(fault.kind) + "\"\nat = " + format_time(fault.at) +
+           fault_name(fault.kind) + "\"\nat = " + format_time(fault.at) +
            "\nfor = " + format_time(fault.duration) + "\ntarget = " + std::to_string(fault.target) +
            "\nsecond = " + std::to_string(fault.peer) + "\nvalue = " + format_number(fault.value) + "\n";
   }
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -14,7 +14,7 @@
 
 namespace sablelink::sim {
 
-enum class Trouble {
+enum class FaultKind {
   kNodeCrash,              // the process ends without a drain and restarts, warming up, after the duration
   kNodePowerLoss,          // as kNodeCrash, but its connections stay open without traffic instead of breaking
   kNodeHang,               // accepts requests and responds to none while the fault lasts
@@ -49,12 +49,12 @@
   kMemoryShortage,         // a node has only the fraction value of its memory
   kGatewayStaleStart,      // a gateway crashes, restarts with its old node list, not updated for value ms
 };
-constexpr int kTroubles = 33;
-const char* trouble_name(Trouble trouble);
+constexpr int kFaultKinds = 33;
+const char* fault_name(FaultKind kind);
 
 struct FaultEvent {
   uint64_t number = 0;
-  Trouble kind = Trouble::kNodeCrash;
+  FaultKind kind = FaultKind::kNodeCrash;
   TimeUs at = 0, duration = 0;  // at: from the start of the run
   int target = 0;               // index of the node, gateway, zone or client process, modulo their number
   int peer = 0;                 // index of the gateway, for faults between a gateway and a node
@@ -94,7 +94,7 @@
   TimeUs duration_us = 12'000'000;  // no request or fault starts later
   bool health_checks = false;
   std::vector<RequestEvent> requests;
-  std::vector<FaultEvent> troubles;
+  std::vector<FaultEvent> faults;
 };
 
 // The classes of workload in every simulation: lookup and report are idempotent; booking isn't; ordered isn't
--- a/src/sim/world.cpp
+++ b/src/sim/world.cpp
@@ -15,13 +15,13 @@
 
 // ---- Event log
 
-Account::Account(bool keep_text) : keep_text_(keep_text), state_(XXH3_createState()) {
+EventLog::EventLog(bool keep_text) : keep_text_(keep_text), state_(XXH3_createState()) {
   XXH3_64bits_reset(state_);
 }
 
-Account::~Account() { XXH3_freeState(state_); }
+EventLog::~EventLog() { XXH3_freeState(state_); }
 
-void Account::append(TimeUs at, std::string_view text) {
+void EventLog::append(TimeUs at, std::string_view text) {
   ++line_count_;
   XXH3_64bits_update(state_, &at, sizeof(at));
   XXH3_64bits_update(state_, text.data(), text.size());
@@ -33,11 +33,11 @@
   text_ += '\n';
 }
 
-uint64_t Account::digest() const { return XXH3_64bits_digest(state_); }
+uint64_t EventLog::digest() const { return XXH3_64bits_digest(state_); }
 
 // ---- World
 
-World::World(uint64_t seed, Account& event_log)
+World::World(uint64_t seed, EventLog& event_log)
     : seed_(seed),
       event_log_(event_log),
       context_(BOOST_ASIO_CONCURRENCY_HINT_UNSAFE),
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -24,12 +24,12 @@
 namespace sablelink::sim {
 
 // The event log of a run. The digest is always computed; the text is kept only on request.
-class Account {
+class EventLog {
  public:
-  explicit Account(bool keep_text = false);
-  ~Account();
-  Account(const Account&) = delete;
-  Account& operator=(const Account&) = delete;
+  explicit EventLog(bool keep_text = false);
+  ~EventLog();
+  EventLog(const EventLog&) = delete;
+  EventLog& operator=(const EventLog&) = delete;
 
   void append(TimeUs at, std::string_view text);
   uint64_t digest() const;
@@ -46,7 +46,7 @@
 class World {
  public:
   // The clock starts at one second because 0 means "not set" in time values.
-  World(uint64_t seed, Account& event_log);
+  World(uint64_t seed, EventLog& event_log);
   ~World();
   World(const World&) = delete;
   World& operator=(const World&) = delete;
@@ -69,7 +69,7 @@
 
  private:
   const uint64_t seed_;
-  Account& event_log_;
+  EventLog& event_log_;
   TimeUs now_ = 1'000'000;
   uint64_t steps_ = 0;
   TimerHeap events_;
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -33,11 +33,11 @@
     c.tag = tag;
     c.gateway = "g";
     c.cls = cls;
-    c.asked_at = from;
-    c.due_at = from + 5 * kSecond;
+    c.started_at = from;
+    c.deadline = from + 5 * kSecond;
     c.ended_at = to;
     c.end = end;
-    c.answers = end == ClientRecord::End::kNoAnswer ? 0 : 1;
+    c.responses = end == ClientRecord::End::kNoResponse ? 0 : 1;
     records.clients.push_back(c);
     return records.clients.back();
   }
@@ -91,7 +91,7 @@
 }
 
 TEST_F(AuditorTest, Rule1WrongResponse) {
-  add_request("a", 0, 0, 100 * kMs).fault = "it ends after 2 of 3 rows";
+  add_request("a", 0, 0, 100 * kMs).response_error = "it ends after 2 of 3 rows";
   add_attempt("a", 0, "n0", 10 * kMs, 50 * kMs);
   EXPECT_EQ(broken_rules(), std::vector<int>{1});
   EXPECT_NE(render(settings, audit(settings, records)).find("2 of 3 rows"), std::string::npos);
@@ -103,16 +103,16 @@
   add_attempt("a", 0, "n0", 2 * kSecond + 10 * kMs, 2 * kSecond + 50 * kMs);
   const Report no_drain = audit(settings, records);
   EXPECT_EQ(no_drain.counts.at_stake[3], 0u);
-  EXPECT_EQ(no_drain.untouched_rule(), 2);
+  EXPECT_EQ(no_drain.rule_never_at_stake(), 2);
   EXPECT_NE(render(settings, no_drain).find("NOT AT STAKE"), std::string::npos);
-  records.told.push_back({"g", "n1", kSecond});
+  records.unavailable.push_back({"g", "n1", kSecond});
   EXPECT_EQ(audit(settings, records).counts.at_stake[3], 1u);
-  records.told[0].at = 2 * kSecond;  // attempts may be sent to it during the grace period
+  records.unavailable[0].at = 2 * kSecond;  // attempts may be sent to it during the grace period
   EXPECT_EQ(audit(settings, records).counts.at_stake[3], 0u);
 }
 
 TEST_F(AuditorTest, Rule1NoResponse) {
-  add_request("a", 0, 0, 5 * kSecond, ClientRecord::End::kNoAnswer);
+  add_request("a", 0, 0, 5 * kSecond, ClientRecord::End::kNoResponse);
   EXPECT_EQ(broken_rules(), std::vector<int>{1});
   // The requests of a killed gateway needn't get a response.
   records.kills.push_back({"g", kSecond, 2 * kSecond});
@@ -129,9 +129,9 @@
 }
 
 TEST_F(AuditorTest, Rule1TwoResponsesAndAttemptsAfterTheEnd) {
-  add_request("a", 0, 0, 100 * kMs).answers = 2;
+  add_request("a", 0, 0, 100 * kMs).responses = 2;
   EXPECT_EQ(broken_rules(), std::vector<int>{1});
-  records.clients[0].answers = 1;
+  records.clients[0].responses = 1;
   add_attempt("a", 0, "n1", 130 * kMs, 140 * kMs);
   EXPECT_EQ(broken_rules(), std::vector<int>{1});
 }
@@ -168,7 +168,7 @@
   records.nodes[1].ran = true;
   EXPECT_EQ(broken_rules(), std::vector<int>{2});
   records.nodes.resize(2);
-  records.clients[0].end = ClientRecord::End::kRefused;
+  records.clients[0].end = ClientRecord::End::kRejected;
   EXPECT_EQ(broken_rules(), std::vector<int>{2});
 }
 
@@ -197,13 +197,13 @@
 TEST_F(AuditorTest, Rule3SentToADrainingNode) {
   add_request("a", 0, 0, kSecond);
   add_attempt("a", 0, "n0", 400 * kMs, 500 * kMs);
-  records.told.push_back({"g", "n0", 200 * kMs});
+  records.unavailable.push_back({"g", "n0", 200 * kMs});
   EXPECT_EQ(broken_rules(), no_rules);
-  records.told[0].at = 100 * kMs;
+  records.unavailable[0].at = 100 * kMs;
   EXPECT_EQ(broken_rules(), std::vector<int>{3});
-  records.told[0].gateway = "other";
+  records.unavailable[0].gateway = "other";
   EXPECT_EQ(broken_rules(), no_rules);
-  records.told[0].gateway = "g";
+  records.unavailable[0].gateway = "g";
   add_node_start("n0", 350 * kMs);  // a new incarnation
   EXPECT_EQ(broken_rules(), no_rules);
 }
@@ -241,7 +241,7 @@
 }
 
 TEST_F(AuditorTest, Rule5NoDelayAfterCancelledAttempt) {
-  add_request("a", 2, 0, 100 * kMs, ClientRecord::End::kLeft).key = "k";
+  add_request("a", 2, 0, 100 * kMs, ClientRecord::End::kCancelled).key = "k";
   add_request("b", 2, kMs, 3 * kSecond).key = "k";
   add_attempt("a", 0, "n0", 0, 90 * kMs, End::kCancelled);
   add_attempt("b", 0, "n1", 1200 * kMs, 1300 * kMs);
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -173,15 +173,15 @@
       if (key == "x-order-key") r.key = value;
     }
     o.cancel = cancel_;
-    r.asked_at = wall();
-    r.due_at = r.asked_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
+    r.started_at = wall();
+    r.deadline = r.started_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
     QueryResult result;
     if (update)
       result = co_await client->update(std::move(sql), std::move(o));
     else
       result = co_await client->query(std::move(sql), std::move(o));
     r.ended_at = wall();
-    r.answers = 1;
+    r.responses = 1;
     r.end = audit::end_of(result.verdict);
     const std::lock_guard lock(mutex_);
     records_.clients.push_back(r);
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -249,7 +249,7 @@
   told.engines[2].state = EndpointState::kDraining;
   {
     const std::lock_guard lock(mutex_);
-    records_.told.push_back({"g", "n2", wall()});
+    records_.unavailable.push_back({"g", "n2", wall()});
   }
   gateway_->reload(told);
   for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -18,8 +18,8 @@
 // Bytes that do not complete a line are no heartbeat. Events from the old address are applied
 // until a connection to the new one is established.
 TEST(EndpointWatcher, PartialLinesAreNoHeartbeatAndOldConnectionIsUsedUntilNewOneIsEstablished) {
-  sim::Account account;
-  sim::World world(7, account);
+  sim::EventLog event_log;
+  sim::World world(7, event_log);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
@@ -69,8 +69,8 @@
 
 // The change log disconnects within an event, repeats events, stops sending and moves to a new address.
 TEST(EndpointWatcher, ListStaysCompleteAfterDisconnectsMissingHeartbeatsAndNewAddress) {
-  sim::Account account;
-  sim::World world(7, account);
+  sim::EventLog event_log;
+  sim::World world(7, event_log);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -314,8 +314,8 @@
     if (out->elapsed_us < timeout_us) out->status = 0;
   }
 
-  sim::Account account_;
-  sim::World world_{7, account_};
+  sim::EventLog event_log_;
+  sim::World world_{7, event_log_};
   sim::Streams streams_{world_, {}};
   std::shared_ptr<sim::Actor> actor_ = sim::Actor::make(world_, "gateway");
   std::shared_ptr<sim::Actor> client_ = sim::Actor::make(world_, "client");
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -19,12 +19,12 @@
 TEST(Simulation, EqualSeedsGiveEqualRuns) {
   const Scenario s = make_scenario(5);
   RunOptions keep_log;
-  keep_log.keep_account = true;
+  keep_log.keep_event_log = true;
   const RunResult a = run(s, keep_log);
   const RunResult b = run(s, keep_log);
   const RunResult without_log = run(s);
-  EXPECT_FALSE(a.account.empty());
-  EXPECT_EQ(a.account, b.account);
+  EXPECT_FALSE(a.event_log.empty());
+  EXPECT_EQ(a.event_log, b.event_log);
   EXPECT_EQ(a.digest, without_log.digest);
   EXPECT_NE(a.digest, run(make_scenario(6)).digest);
 }
@@ -35,7 +35,7 @@
     EXPECT_GE(s.gateways, 3);
     EXPECT_GE(s.nodes, 8);
     EXPECT_GE(s.requests.size(), 300u);
-    EXPECT_GE(s.troubles.size(), 3u);
+    EXPECT_GE(s.faults.size(), 3u);
   }
 }
 
@@ -48,18 +48,18 @@
 // Each request and each fault has its own random streams.
 TEST(Simulation, RemovingAFaultChangesNothingBeforeIt) {
   Scenario s = make_scenario(12);
-  std::sort(s.troubles.begin(), s.troubles.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
-  s.troubles.erase(std::remove_if(s.troubles.begin(), s.troubles.end(),
-                                  [](const FaultEvent& t) { return t.kind == Trouble::kHotKey; }),
-                   s.troubles.end());
-  ASSERT_GE(s.troubles.size(), 2u);
+  std::sort(s.faults.begin(), s.faults.end(), [](const auto& a, const auto& b) { return a.at < b.at; });
+  s.faults.erase(std::remove_if(s.faults.begin(), s.faults.end(),
+                                [](const FaultEvent& t) { return t.kind == FaultKind::kHotKey; }),
+                 s.faults.end());
+  ASSERT_GE(s.faults.size(), 2u);
   Scenario without_last = s;
-  const TimeUs at = s.troubles.back().at + 1'000'000;
-  without_last.troubles.pop_back();
+  const TimeUs at = s.faults.back().at + 1'000'000;
+  without_last.faults.pop_back();
   RunOptions keep_log;
-  keep_log.keep_account = true;
-  const std::string a = run(s, keep_log).account;
-  const std::string b = run(without_last, keep_log).account;
+  keep_log.keep_event_log = true;
+  const std::string a = run(s, keep_log).event_log;
+  const std::string b = run(without_last, keep_log).event_log;
   // Both event logs are equal up to the fault that was removed from one of them.
   const auto [x, y] = std::mismatch(a.begin(), a.end(), b.begin(), b.end());
   ASSERT_NE(x, a.end());
@@ -92,14 +92,14 @@
     const RunResult r = run(s);
     for (const audit::Finding& f : r.findings)
       ADD_FAILURE() << s.name << ", rule " << f.rule << ": " << f.what;
-    EXPECT_EQ(r.ends[End::kNoAnswer], 0u);
+    EXPECT_EQ(r.ends[End::kNoResponse], 0u);
     EXPECT_GT(r.ends[End::kServed], 0u);
   }
 }
 INSTANTIATE_TEST_SUITE_P(Seeds, CleanWorlds, testing::Range(0, 8));
 
 struct MutationCase {
-  Defect defect;
+  Mutation mutation;
   int rule;       // the rule that must be reported as broken
   int max_seeds;  // number of seeds in which it must be found
 };
@@ -108,7 +108,7 @@
 
 TEST_P(Mutations, AreDetected) {
   RunOptions options;
-  options.defect = GetParam().defect;
+  options.mutation = GetParam().mutation;
   options.stop_at_finding = true;
   bool found = false;
   for (uint64_t seed = 1; seed <= static_cast<uint64_t>(GetParam().max_seeds) && !found; ++seed) {
@@ -121,22 +121,22 @@
 INSTANTIATE_TEST_SUITE_P(
     All, Mutations,
     testing::Values(
-        MutationCase{Defect::kDuplicateSend, 2, 5}, MutationCase{Defect::kCancelNotSent, 2, 5},
-        MutationCase{Defect::kDuplicateResponse, 1, 5}, MutationCase{Defect::kResponseNeverSent, 1, 5},
-        MutationCase{Defect::kTimeoutExtended, 1, 5}, MutationCase{Defect::kClientCancelIgnored, 1, 20},
-        MutationCase{Defect::kDrainIgnored, 3, 20}, MutationCase{Defect::kNonIdempotentRetried, 2, 10},
-        MutationCase{Defect::kKeyedRetriedAnywhere, 2, 20}, MutationCase{Defect::kKeyOrderIgnored, 5, 10},
-        MutationCase{Defect::kOrderingGapIgnored, 5, 20}, MutationCase{Defect::kPlacementIgnored, 6, 5},
-        MutationCase{Defect::kRetryBudgetIgnored, 7, 20}, MutationCase{Defect::kTimerLost, 1, 20},
-        MutationCase{Defect::kSlowStartIgnored, 4, 80}, MutationCase{Defect::kBatchLost, 1, 5},
-        MutationCase{Defect::kBatchDuplicated, 1, 5}, MutationCase{Defect::kForeignBatch, 1, 5},
-        MutationCase{Defect::kForeignSchema, 1, 5}, MutationCase{Defect::kUnreadBytesLeaked, 0, 10},
-        MutationCase{Defect::kPlanningUnlimited, 0, 5}, MutationCase{Defect::kPlanningPinned, 3, 40}),
-    [](const auto& mutation) { return std::string(defect_name(mutation.param.defect)); });
+        MutationCase{Mutation::kDuplicateSend, 2, 5}, MutationCase{Mutation::kCancelNotSent, 2, 5},
+        MutationCase{Mutation::kDuplicateResponse, 1, 5}, MutationCase{Mutation::kResponseNeverSent, 1, 5},
+        MutationCase{Mutation::kTimeoutExtended, 1, 5}, MutationCase{Mutation::kClientCancelIgnored, 1, 20},
+        MutationCase{Mutation::kDrainIgnored, 3, 20}, MutationCase{Mutation::kNonIdempotentRetried, 2, 10},
+        MutationCase{Mutation::kKeyedRetriedAnywhere, 2, 20}, MutationCase{Mutation::kKeyOrderIgnored, 5, 10},
+        MutationCase{Mutation::kOrderingGapIgnored, 5, 20}, MutationCase{Mutation::kPlacementIgnored, 6, 5},
+        MutationCase{Mutation::kRetryBudgetIgnored, 7, 20}, MutationCase{Mutation::kTimerLost, 1, 20},
+        MutationCase{Mutation::kSlowStartIgnored, 4, 80}, MutationCase{Mutation::kBatchLost, 1, 5},
+        MutationCase{Mutation::kBatchDuplicated, 1, 5}, MutationCase{Mutation::kForeignBatch, 1, 5},
+        MutationCase{Mutation::kForeignSchema, 1, 5}, MutationCase{Mutation::kUnreadBytesLeaked, 0, 10},
+        MutationCase{Mutation::kPlanningUnlimited, 0, 5}, MutationCase{Mutation::kPlanningPinned, 3, 40}),
+    [](const auto& mutation) { return std::string(mutation_name(mutation.param.mutation)); });
 
 TEST(Simulation, ShrinkKeepsTheBrokenRule) {
   RunOptions options;
-  options.defect = Defect::kPlacementIgnored;
+  options.mutation = Mutation::kPlacementIgnored;
   const Scenario s = make_scenario(1);
   const Scenario reduced = shrink(s, options, 6, 60);
   EXPECT_LT(reduced.requests.size(), s.requests.size() / 4);
@@ -180,15 +180,15 @@
 
 TEST_P(SpecificFaults, BreakNoRule) {
   RunOptions keep_log;
-  keep_log.keep_account = true;
+  keep_log.keep_event_log = true;
   const RunResult r = run(parse_scenario(GetParam().text, GetParam().name), keep_log);
   for (const audit::Finding& f : r.findings) ADD_FAILURE() << "rule " << f.rule << ": " << f.what;
   size_t at = 0;
   for (const char* line : GetParam().expected_log) {
-    at = r.account.find(line, at);
+    at = r.event_log.find(line, at);
     ASSERT_NE(at, std::string::npos) << "missing in the event log: " << line;
   }
-  EXPECT_EQ(r.ends[End::kNoAnswer], 0u);
+  EXPECT_EQ(r.ends[End::kNoResponse], 0u);
 }
 
 constexpr const char* kWarmingDuringLoadShift = R"(
@@ -392,12 +392,12 @@
                              "work = \"600ms\"\npatience = \"2s\"\n" + "[[trouble]]\nkind = \"" + kind +
                              "\"\nat = \"1200ms\"\nfor = \"4s\"\n";
     RunOptions keep_log;
-    keep_log.keep_account = true;
+    keep_log.keep_event_log = true;
     const RunResult r = run(parse_scenario(text, kind), keep_log);
     for (const audit::Finding& f : r.findings) ADD_FAILURE() << "rule " << f.rule << ": " << f.what;
-    const size_t end = r.account.find("q1-0 ends");
+    const size_t end = r.event_log.find("q1-0 ends");
     EXPECT_NE(end, std::string::npos);
-    return std::stod(r.account.substr(r.account.rfind('\n', end) + 1, 14)) -
+    return std::stod(r.event_log.substr(r.event_log.rfind('\n', end) + 1, 14)) -
            1;  // the world's clock starts at 1 s
   };
   EXPECT_LT(ends_at("node_crash"), 1.3);
@@ -407,7 +407,7 @@
 // A connection is accepted and then breaks while its client is stalled. The client then processes the delayed
 // acceptance and must not take the connection for established.
 TEST(Simulation, ConnectionBrokenDuringClientStallIsNotEstablished) {
-  Account event_log;
+  EventLog event_log;
   World world(1, event_log);
   Network network(world, {});
   const auto client = Actor::make(world, "client");
@@ -449,7 +449,7 @@
       for (const audit::Finding& f : out.findings)
         ADD_FAILURE() << end_after << " us, rule " << f.rule << ": " << f.what;
       served += out.ends[End::kServed];
-      not_served += out.ends[End::kLeft] + out.ends[End::kRefused] + out.ends[End::kFailed] +
+      not_served += out.ends[End::kCancelled] + out.ends[End::kRejected] + out.ends[End::kFailed] +
                     out.ends[End::kUnreachable];
     }
     if (cancels) {
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -112,8 +112,8 @@
   void run(Awaitable<void> coroutine) override { test::run_in(world_, std::move(coroutine)); }
 
  private:
-  sim::Account account_;
-  sim::World world_{7, account_};
+  sim::EventLog event_log_;
+  sim::World world_{7, event_log_};
   sim::Streams streams_{world_, {}};
   std::shared_ptr<sim::Actor> server_ = sim::Actor::make(world_, "server");
   std::shared_ptr<sim::Actor> client_ = sim::Actor::make(world_, "client");
@@ -267,8 +267,8 @@
 
 // A reset completes the pending reads of both sides.
 TEST(SimulatedStreams, Reset_BreaksBothSides) {
-  sim::Account account;
-  sim::World world{7, account};
+  sim::EventLog event_log;
+  sim::World world{7, event_log};
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "server");
   const auto client = sim::Actor::make(world, "client");
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -104,8 +104,8 @@
   }
 
  private:
-  sim::Account account_;
-  sim::World world_{7, account_};
+  sim::EventLog event_log_;
+  sim::World world_{7, event_log_};
   sim::Network network_{world_, {}};
   std::shared_ptr<sim::Actor> server_ = sim::Actor::make(world_, "server");
   std::shared_ptr<sim::Actor> client_ = sim::Actor::make(world_, "client");
