--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -154,7 +154,7 @@
       options.timeout_us = 20'000'000;
       std::string sql = statement(i);
       const TimeUs from = loop_.now();
-      const Client::Ticket ticket = co_await clients_[0]->ask(std::move(sql), std::move(options));
+      const Client::Ticket ticket = co_await clients_[0]->get_ticket(std::move(sql), std::move(options));
       if (ticket.status.ok())
         times_.push_back(loop_.now() - from);
       else
@@ -165,7 +165,7 @@
   rpc::Awaitable<void> reading(std::string sql, TimeUs every, std::shared_ptr<Reading> out) {
     flightsql::ClientOptions options;
     options.timeout_us = 1'000'000'000;
-    options.read_every_us = every;
+    options.read_delay_us = every;
     const flightsql::QueryResult r =
         co_await clients_[0]->query(std::move(sql), std::move(options),
                                     [out](const auto&, const auto& batch) { out->rows += batch.rows; });
--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -17,7 +17,7 @@
 #include "badday/process.h"
 #include "base/async_event.h"
 #include "flightsql/client.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "nodes/content.h"
 #include "nodes/record_file.h"
 #include "rpc/grpc_client.h"
@@ -287,15 +287,15 @@
           static_cast<TimeUs>(p.patience * script_.gateway.settings.classes[r.cls].request_timeout_us);
       flightsql::ClientOptions o;
       o.timeout_us = patience;
-      o.dial_timeout_us = 300'000;
+      o.connect_timeout_us = 300'000;
       o.headers.emplace_back("x-class", t.cls);
       o.headers.emplace_back(std::string(flightsql::kClientTagKey), r.tag);
       if (!p.key.empty()) o.headers.emplace_back("x-order-key", p.key);
       const bool leaves = p.leaves_at >= 0 && turn == 0;
       if (leaves) {
-        o.cancel = std::make_shared<flightsql::Canceller>();
+        o.canceller = std::make_shared<flightsql::CallCanceller>();
         loop_.call_after(static_cast<TimeUs>(p.leaves_at * static_cast<double>(patience)),
-                         [cancel = o.cancel] { cancel->cancel_all(); });
+                         [cancel = o.canceller] { cancel->cancel_all(); });
       }
       std::string sql = statement(t, p);
       const std::string asked = sql;
@@ -325,7 +325,7 @@
       if (!t.update)
         r.response_error = check->fault(served);
       else if (served)
-        r.response_error = nodes::AnswerCheck::update_fault(asked, result.updated);
+        r.response_error = nodes::AnswerCheck::update_fault(asked, result.updated_rows);
       {
         const std::lock_guard lock(mutex_);
         records_.clients.push_back(r);
--- a/src/flightsql/client.cpp
+++ b/src/flightsql/client.cpp
@@ -4,7 +4,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 
 namespace sablelink::flightsql {
 namespace {
@@ -36,13 +36,13 @@
 
 }  // namespace
 
-void Canceller::add(const std::shared_ptr<rpc::ClientCall>& call) {
+void CallCanceller::add(const std::shared_ptr<rpc::ClientCall>& call) {
   const std::lock_guard lock(mutex_);
   std::erase_if(calls_, [](const std::weak_ptr<rpc::ClientCall>& c) { return c.expired(); });
   calls_.push_back(call);
 }
 
-void Canceller::cancel_all() {
+void CallCanceller::cancel_all() {
   const std::lock_guard lock(mutex_);
   for (const std::weak_ptr<rpc::ClientCall>& weak : calls_)
     if (const auto call = weak.lock()) call->cancel();
@@ -50,7 +50,7 @@
 
 Awaitable<std::optional<rpc::Status>> Client::connect_in_time(ClientOptions* options) {
   const TimeUs begin = clock_.now();
-  const bool connected = co_await channel_->connect(options->dial_timeout_us);
+  const bool connected = co_await channel_->connect(options->connect_timeout_us);
   if (!connected) co_return connection_error();
   if (!deduct_elapsed(options, begin)) co_return timeout_error();
   co_return std::nullopt;
@@ -65,11 +65,11 @@
 std::shared_ptr<rpc::ClientCall> Client::start_call(std::string_view method, const ClientOptions& options) {
   std::shared_ptr<rpc::ClientCall> call =
       channel_->call(std::string(kServicePrefix) + std::string(method), options.headers, options.timeout_us);
-  if (options.cancel) options.cancel->add(call);
+  if (options.canceller) options.canceller->add(call);
   return call;
 }
 
-Awaitable<Client::Ticket> Client::ask(std::string statement, ClientOptions options) {
+Awaitable<Client::Ticket> Client::get_ticket(std::string statement, ClientOptions options) {
   Ticket result;
   const std::optional<rpc::Status> connect_error = co_await connect_in_time(&options);
   if (connect_error) {
@@ -102,8 +102,8 @@
   co_await call->write(std::move(ticket), true);
   std::string error;
   for (int number = 0;; ++number) {
-    if (options.read_every_us > 0) co_await sleep_for(clock_, options.read_every_us);
-    if (options.stops_after == number)
+    if (options.read_delay_us > 0) co_await sleep_for(clock_, options.read_delay_us);
+    if (options.stall_after_messages == number)
       co_await sleep_for(clock_, options.timeout_us > 0 ? options.timeout_us : kDefaultStallUs);
     std::optional<std::string> message = co_await call->read();
     if (!message) break;
@@ -140,7 +140,7 @@
 Awaitable<QueryResult> Client::query(std::string statement, ClientOptions options, OnBatch on_batch) {
   const TimeUs begin = clock_.now();
   ClientOptions copy = options;
-  Ticket ticket = co_await ask(std::move(statement), std::move(copy));
+  Ticket ticket = co_await get_ticket(std::move(statement), std::move(copy));
   if (ticket.status.ok() && !deduct_elapsed(&options, begin)) ticket.status = timeout_error();
   if (!ticket.status.ok()) {
     QueryResult result;
@@ -155,7 +155,7 @@
   flight::FlightInfo info;
   if (info.ParseFromString(ticket.info) && !info.schema().empty()) {
     try {
-      result.promised = arrowipc::decode_encapsulated_schema(info.schema());
+      result.announced_schema = arrowipc::decode_encapsulated_schema(info.schema());
     } catch (const arrowipc::FormatError& e) {
       result.verdict = dispatch::RequestStatus::kFailed;
       result.status = make_error(Code::kInternal, std::string("the FlightInfo's schema: ") + e.what());
@@ -184,7 +184,7 @@
     flight::PutResult put;
     fsql::DoPutUpdateResult update_result;
     if (put.ParseFromString(*message) && update_result.ParseFromString(put.app_metadata()))
-      result.updated = update_result.record_count();
+      result.updated_rows = update_result.record_count();
   }
   const rpc::CallResult call_result = co_await call->finish();
   read_call_result(call_result, result);
--- a/src/flightsql/client.h
+++ b/src/flightsql/client.h
@@ -15,7 +15,7 @@
 namespace sablelink::flightsql {
 
 // Cancels the calls of clients, as a client's disconnection would. Thread-safe.
-class Canceller {
+class CallCanceller {
  public:
   void cancel_all();
 
@@ -30,12 +30,12 @@
 struct ClientOptions {
   TimeUs timeout_us = 0;  // limits connecting and all calls together; 0 for none
   rpc::Metadata headers;
-  TimeUs dial_timeout_us = 2'000'000;
-  std::shared_ptr<Canceller> cancel;  // may be null
+  TimeUs connect_timeout_us = 2'000'000;
+  std::shared_ptr<CallCanceller> canceller;  // may be null
   // For tests of slow readers: a pause before each message is read, and the number of messages after which
   // reading stalls until the time-out has passed.
-  TimeUs read_every_us = 0;
-  std::optional<int> stops_after;
+  TimeUs read_delay_us = 0;
+  std::optional<int> stall_after_messages;
 };
 
 struct QueryResult {
@@ -49,13 +49,13 @@
   int attempts = 0;
   std::optional<TimeUs> retry_after_us;
   // The schema of the FlightInfo, if it had one. The response may have another, which is the valid one.
-  std::optional<arrowipc::Schema> promised;
+  std::optional<arrowipc::Schema> announced_schema;
   bool schema_changed = false;  // the gateway reports that the response's schema isn't the FlightInfo's
   arrowipc::Schema schema;
   bool has_schema = false;
   std::vector<arrowipc::Batch> batches;
   int64_t rows = 0;
-  int64_t updated = 0;  // number of rows that an update has changed
+  int64_t updated_rows = 0;  // number of rows that an update has changed
 };
 
 // A client with one connection. Used on one strand; calls may be made concurrently.
@@ -70,14 +70,14 @@
   rpc::Awaitable<QueryResult> query(std::string statement, ClientOptions options, OnBatch on_batch = nullptr);
   rpc::Awaitable<QueryResult> update(std::string statement, ClientOptions options);
 
-  // ask() calls GetFlightInfo alone, fetch() DoGet alone. The ticket is empty unless the status is OK.
+  // get_ticket() calls GetFlightInfo alone, fetch() DoGet alone. The ticket is empty unless the status is OK.
   struct Ticket {
     rpc::Status status;
     std::string info;    // the serialised FlightInfo
     std::string ticket;  // the serialised Ticket, for fetch()
     bool connected = true;
   };
-  rpc::Awaitable<Ticket> ask(std::string statement, ClientOptions options);
+  rpc::Awaitable<Ticket> get_ticket(std::string statement, ClientOptions options);
   rpc::Awaitable<QueryResult> fetch(std::string ticket, ClientOptions options, OnBatch on_batch = nullptr);
   // Calls DoAction. bodies: those of its results.
   struct ActionResult {
--- a/src/flightsql/engine_client.cpp
+++ b/src/flightsql/engine_client.cpp
@@ -7,7 +7,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "sablelink.pb.h"
 #include "sql/statement.h"
 
@@ -100,18 +100,19 @@
   if (node.channels.empty()) {
     node.address = address_of_(engine);
     if (node.address.empty()) return nullptr;
-    for (size_t i = 0; i < options_.connections; ++i) node.channels.push_back(channels_.open(node.address));
+    for (size_t i = 0; i < options_.connections_per_node; ++i)
+      node.channels.push_back(channels_.open(node.address));
   }
   return node.channels[node.next_channel_index++ % node.channels.size()];
 }
 
 rpc::Metadata FlightSqlEngineClient::attempt_metadata(AttemptId attempt, const AttemptSpec& spec) const {
   rpc::Metadata metadata;
-  metadata.emplace_back(kRequestKey, options_.origin + "/" + std::to_string(attempt.request));
+  metadata.emplace_back(kRequestKey, options_.request_name_prefix + "/" + std::to_string(attempt.request));
   metadata.emplace_back(kAttemptKey, std::to_string(attempt.number));
   metadata.emplace_back(kPriorityKey, std::to_string(spec.priority));
   metadata.emplace_back(kAttemptTimeoutKey, std::to_string(spec.remaining_us));
-  if (spec.memory_grant_mb > 0) metadata.emplace_back(kGrantKey, std::to_string(spec.memory_grant_mb));
+  if (spec.memory_grant_mb > 0) metadata.emplace_back(kMemoryGrantKey, std::to_string(spec.memory_grant_mb));
   if (!spec.statement->client_tag.empty()) metadata.emplace_back(kClientTagKey, spec.statement->client_tag);
   return metadata;
 }
@@ -137,7 +138,7 @@
   AttemptResult result;
   const std::shared_ptr<rpc::Channel> channel = next_channel(engine);
   bool connected = false;
-  if (channel) connected = co_await channel->connect(options_.dial_timeout_us);
+  if (channel) connected = co_await channel->connect(options_.connect_timeout_us);
   if (!connected) {
     result.outcome = Outcome::kConnectFailed;
     result.error = {static_cast<int>(rpc::Code::kUnavailable), "no connection to the node"};
@@ -298,7 +299,7 @@
   it->second->resumed.set();
 }
 
-void FlightSqlEngineClient::drop_all() {
+void FlightSqlEngineClient::cancel_all() {
   while (!tasks_.empty()) cancel(tasks_.begin()->second->attempt);
 }
 
@@ -310,7 +311,7 @@
 Awaitable<void> FlightSqlEngineClient::run_health_check(uint32_t check, EngineId engine) {
   const std::shared_ptr<rpc::Channel> channel = next_channel(engine);
   bool connected = false;
-  if (channel) connected = co_await channel->connect(options_.dial_timeout_us);
+  if (channel) connected = co_await channel->connect(options_.connect_timeout_us);
   if (!connected) {
     dispatcher_->on_health_check_completed(check, Outcome::kConnectFailed, std::nullopt);
     co_return;
--- a/src/flightsql/engine_client.h
+++ b/src/flightsql/engine_client.h
@@ -1,6 +1,6 @@
 // Sends attempts to nodes over Flight SQL: queries by GetFlightInfo and DoGet, updates by DoPut, planning
-// calls by GetSchema or CreatePreparedStatement. It makes no decisions; terms.h has the mapping of calls to
-// outcomes.
+// calls by GetSchema or CreatePreparedStatement. It makes no decisions; protocol.h has the mapping of calls
+// to outcomes.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -19,9 +19,9 @@
 namespace sablelink::flightsql {
 
 struct FlightSqlEngineClientOptions {
-  std::string origin;  // "GATEWAY/INCARNATION", the first part of every request's name
-  TimeUs dial_timeout_us = 250'000;
-  size_t connections = 1;  // to each node
+  std::string request_name_prefix;  // "GATEWAY/INCARNATION", the first part of every request's name
+  TimeUs connect_timeout_us = 250'000;
+  size_t connections_per_node = 1;  // to each node
 };
 
 // All methods are called on the executor, which is the dispatcher's strand.
@@ -43,10 +43,10 @@
   void close_idle_connections(EngineId engine) override;
 
   // Cancels every attempt.
-  void drop_all();
+  void cancel_all();
   // Number of coroutines that haven't completed, including those of cancelled attempts. This object may be
   // destroyed only when it is 0.
-  size_t busy() const { return active_coroutines_; }
+  size_t active_coroutines() const { return active_coroutines_; }
 
  private:
   struct AttemptTask;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -7,7 +7,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/catalog.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "workload/error.h"
 
 namespace sablelink::flightsql {
@@ -131,12 +131,12 @@
       dispatcher_(dispatcher),
       clock_(clock),
       log_(log),
-      tickets_(seeds.life, seeds.secret),
+      tickets_(seeds.incarnation, seeds.ticket_secret),
       prepared_({config.flight_sql.max_prepared_statements, config.flight_sql.max_prepared_bytes,
                  config.flight_sql.prepared_idle_timeout_us},
-                seeds.handles),
-      schema_resolver_(config.schema_cache, config.planning, config.planning_class, seeds.life, dispatcher,
-                       clock, log) {}
+                seeds.handle_seed),
+      schema_resolver_(config.schema_cache, config.planning, config.planning_class, seeds.incarnation,
+                       dispatcher, clock, log) {}
 
 FlightSqlServer::~FlightSqlServer() = default;
 
@@ -351,10 +351,10 @@
         table = tables(selectors_.tables, command, schemas);
       }
     }
-    std::string bytes = flight_data(arrowipc::encode_schema(table->schema));
+    std::string bytes = encode_flight_data(arrowipc::encode_schema(table->schema));
     const bool written = co_await call->write(std::move(bytes));
     if (!written) co_return;
-    bytes = flight_data(arrowipc::encode_batch(table->schema, table->batch));
+    bytes = encode_flight_data(arrowipc::encode_batch(table->schema, table->batch));
     co_await finish_with_message(call, std::move(bytes));
     co_return;
   }
@@ -362,9 +362,9 @@
     throw CallError(Code::kUnimplemented,
                     "ticket " + unqualified_type_name(any.type_url()) + " is not served");
   OpenedTicket opened = tickets_.open(unpack<fsql::TicketStatementQuery>(any).statement_handle());
-  if (opened.fault != TicketFault::kNone)
-    throw CallError(opened.fault == TicketFault::kOtherIncarnation ? Code::kNotFound : Code::kInvalidArgument,
-                    ticket_fault_message(opened.fault));
+  if (opened.error != TicketError::kNone)
+    throw CallError(opened.error == TicketError::kOtherIncarnation ? Code::kNotFound : Code::kInvalidArgument,
+                    ticket_error_message(opened.error));
   const bool is_client_retry = !tickets_.first_use(opened.serial);
   std::string text = std::move(opened.statement);
   ExecutionResult result = co_await execute(call, std::move(text), false, opened, is_client_retry);
@@ -723,10 +723,10 @@
   for (const flight::FlightEndpoint& endpoint : info.endpoint()) {
     const auto any = parse_any(endpoint.ticket().ticket(), "the ticket");
     const OpenedTicket opened = tickets_.open(unpack<fsql::TicketStatementQuery>(any).statement_handle());
-    if (opened.fault != TicketFault::kNone)
+    if (opened.error != TicketError::kNone)
       throw CallError(
-          opened.fault == TicketFault::kOtherIncarnation ? Code::kNotFound : Code::kInvalidArgument,
-          ticket_fault_message(opened.fault));
+          opened.error == TicketError::kOtherIncarnation ? Code::kNotFound : Code::kInvalidArgument,
+          ticket_error_message(opened.error));
     const auto [begin, end] = running_by_ticket_.equal_range(opened.serial);
     for (auto it = begin; it != end; ++it) {
       const std::shared_ptr<PendingResponse> pending = it->second.lock();
--- a/src/flightsql/flight_sql_server.h
+++ b/src/flightsql/flight_sql_server.h
@@ -24,7 +24,7 @@
 
 // Random numbers, drawn once at each start of the gateway.
 struct FlightSqlServerSeeds {
-  uint64_t life = 0, secret = 0, handles = 0;
+  uint64_t incarnation = 0, ticket_secret = 0, handle_seed = 0;
 };
 
 class FlightSqlServer {
@@ -40,7 +40,7 @@
   // Replaces the selectors, for requests that arrive from now on.
   void set_selectors(config::SelectorSettings selectors);
 
-  const SchemaResolver& columns() const { return schema_resolver_; }
+  const SchemaResolver& schema_resolver() const { return schema_resolver_; }
 
  private:
   class PendingResponse;
@@ -112,7 +112,7 @@
   dispatch::RequestDispatcher& dispatcher_;
   Clock& clock_;
   Log& log_;
-  TicketOffice tickets_;
+  TicketIssuer tickets_;
   PreparedStatements prepared_;
   SchemaResolver schema_resolver_;
   std::unordered_map<std::string, size_t> open_requests_by_peer_;
--- a/src/flightsql/messages.h
+++ b/src/flightsql/messages.h
@@ -24,7 +24,7 @@
   return any.SerializeAsString();
 }
 
-inline std::string flight_data(const arrowipc::Message& message) {
+inline std::string encode_flight_data(const arrowipc::Message& message) {
   flight::FlightData data;
   data.set_data_header(message.header);
   data.set_data_body(message.body);
--- a/src/flightsql/terms.cpp
+++ b/src/flightsql/protocol.cpp
@@ -1,4 +1,4 @@
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 
 #include <algorithm>
 #include <cmath>
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-NodeReport decode_report(std::string_view bytes) {
+NodeReport decode_load_report(std::string_view bytes) {
   NodeReport out;
   xds::data::orca::v3::OrcaLoadReport in;
   if (bytes.empty() || !in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return out;
@@ -56,11 +56,11 @@
       load.disk_utilization)
     out.load = load;
   out.work_us = find_metric(in.request_cost(), "work_us");
-  out.used_mb = find_metric(in.request_cost(), "memory_mb");
+  out.memory_used_mb = find_metric(in.request_cost(), "memory_mb");
   return out;
 }
 
-std::string encode_report(const NodeReport& report) {
+std::string encode_load_report(const NodeReport& report) {
   xds::data::orca::v3::OrcaLoadReport out;
   if (report.load) {
     const LoadReport& load = *report.load;
@@ -71,7 +71,7 @@
     if (load.waiting_for_memory) (*out.mutable_named_metrics())["waiting"] = *load.waiting_for_memory;
   }
   if (report.work_us) (*out.mutable_request_cost())["work_us"] = *report.work_us;
-  if (report.used_mb) (*out.mutable_request_cost())["memory_mb"] = *report.used_mb;
+  if (report.memory_used_mb) (*out.mutable_request_cost())["memory_mb"] = *report.memory_used_mb;
   return out.SerializeAsString();
 }
 
@@ -123,12 +123,12 @@
 
 dispatch::AttemptResult map_call_end(const rpc::CallResult& end) {
   dispatch::AttemptResult out;
-  const NodeReport report = decode_report(rpc::find_value(end.trailers, kLoadReportKey));
+  const NodeReport report = decode_load_report(rpc::find_value(end.trailers, kLoadReportKey));
   out.load_report = report.load;
   if (end.status.ok()) {
     out.outcome = Outcome::kOk;
     out.work_us = report.work_us;
-    out.memory_used_mb = report.used_mb;
+    out.memory_used_mb = report.memory_used_mb;
     return out;
   }
   out.error = {static_cast<int>(end.status.code), end.status.message};
--- a/src/flightsql/terms.h
+++ b/src/flightsql/protocol.h
@@ -22,14 +22,14 @@
 inline constexpr std::string_view kRequestKey = "x-sablelink-request";    // "GATEWAY/INCARNATION/REQUEST"
 inline constexpr std::string_view kAttemptKey = "x-sablelink-attempt";    // number of the attempt, from 0
 inline constexpr std::string_view kPriorityKey = "x-sablelink-priority";  // 0 to 3
-inline constexpr std::string_view kGrantKey = "x-sablelink-grant-mb";
+inline constexpr std::string_view kMemoryGrantKey = "x-sablelink-grant-mb";
 inline constexpr std::string_view kAttemptTimeoutKey = "x-sablelink-allow-us";  // time-out of the attempt
 // Metadata by which a client names its request; the gateway forwards it to the node.
 inline constexpr std::string_view kClientTagKey = "x-request-id";
 
-// The gateway itself makes planning calls: their kClientTagKey begins with kPlanTag, and the log has it as
-// the field "tag" of the event kPlanEvent when the call is started.
-inline constexpr std::string_view kPlanTag = "plan:";
+// The gateway itself makes planning calls: their kClientTagKey begins with kPlanTagPrefix, and the log has it
+// as the field "tag" of the event kPlanEvent when the call is started.
+inline constexpr std::string_view kPlanTagPrefix = "plan:";
 inline constexpr std::string_view kPlanEvent = "planning";
 
 // Trailers sent by a gateway to a client.
@@ -63,11 +63,11 @@
 struct NodeReport {
   std::optional<LoadReport> load;
   std::optional<double> work_us;
-  std::optional<double> used_mb;
+  std::optional<double> memory_used_mb;
 };
 // Returns an empty report for invalid bytes; values that are negative or not finite are omitted.
-NodeReport decode_report(std::string_view bytes);
-std::string encode_report(const NodeReport& report);
+NodeReport decode_load_report(std::string_view bytes);
+std::string encode_load_report(const NodeReport& report);
 
 // The time within which a request must be answered so that the response reaches the client before its
 // time-out: the time-out less the margin, which allows for the transmission of the response, but at least
--- a/src/flightsql/schema_resolver.cpp
+++ b/src/flightsql/schema_resolver.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "sablelink.pb.h"
 #include "sql/shape.h"
 
@@ -101,7 +101,7 @@
   statement->text = text;
   statement->kind = dispatch::ExecutionKind::kPlan;
   statement->client_tag =
-      std::string(kPlanTag) + std::to_string(incarnation_) + "/" + std::to_string(++last_call_number_);
+      std::string(kPlanTagPrefix) + std::to_string(incarnation_) + "/" + std::to_string(++last_call_number_);
   log_.write(LogLevel::kInfo, kPlanEvent, {{"tag", statement->client_tag}});
   dispatcher_.submit(query, std::move(statement),
                      std::make_shared<Sink>(*this, key, cached_statement, parameters_key));
--- a/src/flightsql/schema_resolver.h
+++ b/src/flightsql/schema_resolver.h
@@ -62,10 +62,10 @@
   // Returns a hash of a schema's columns, for tickets; 0 only for an empty schema.
   static uint64_t hash_schema(const std::string& schema);
 
-  const schemas::SchemaCache& store() const { return cache_; }
-  const schemas::PlanningCoordinator& planning() const { return planning_coordinator_; }
+  const schemas::SchemaCache& cache() const { return cache_; }
+  const schemas::PlanningCoordinator& planning_coordinator() const { return planning_coordinator_; }
   // Number of responses whose schema wasn't the announced one.
-  uint64_t changed() const { return schema_change_count_; }
+  uint64_t schema_change_count() const { return schema_change_count_; }
 
  private:
   struct Call;
--- a/src/flightsql/tickets.cpp
+++ b/src/flightsql/tickets.cpp
@@ -16,26 +16,26 @@
 
 }  // namespace
 
-const char* ticket_fault_message(TicketFault fault) {
-  switch (fault) {
-    case TicketFault::kNone:
+const char* ticket_error_message(TicketError error) {
+  switch (error) {
+    case TicketError::kNone:
       return "the ticket is good";
-    case TicketFault::kMalformed:
+    case TicketError::kMalformed:
       return "the statement handle is none that a gateway gives out";
-    case TicketFault::kOtherIncarnation:
+    case TicketError::kOtherIncarnation:
       return "the ticket is of another gateway or of this one before its restart; ask for a new FlightInfo";
-    case TicketFault::kModified:
+    case TicketError::kModified:
       return "the ticket has been changed since it was given out";
   }
   return "";
 }
 
-std::array<uint64_t, 2> TicketOffice::checksum(std::string_view body) const {
+std::array<uint64_t, 2> TicketIssuer::checksum(std::string_view body) const {
   const XXH128_hash_t hash = XXH3_128bits_withSeed(body.data(), body.size(), secret_ ^ incarnation_);
   return {hash.low64, hash.high64};
 }
 
-std::string TicketOffice::issue(std::string_view statement, uint64_t announced_schema_hash) {
+std::string TicketIssuer::issue(std::string_view statement, uint64_t announced_schema_hash) {
   wire::TicketBody body;
   body.set_serial(++last_serial_);
   body.set_statement(std::string(statement));
@@ -49,9 +49,9 @@
   return ticket + bytes;
 }
 
-OpenedTicket TicketOffice::open(std::string_view ticket) const {
+OpenedTicket TicketIssuer::open(std::string_view ticket) const {
   OpenedTicket opened;
-  opened.fault = TicketFault::kMalformed;
+  opened.error = TicketError::kMalformed;
   if (ticket.size() < kHeaderBytes || ticket.substr(0, 4) != kMagic) return opened;
   uint64_t incarnation = 0;
   std::array<uint64_t, 2> stored_checksum;
@@ -59,24 +59,24 @@
   std::memcpy(stored_checksum.data(), ticket.data() + 12, 16);
   const std::string_view bytes = ticket.substr(kHeaderBytes);
   if (incarnation != incarnation_) {
-    opened.fault = TicketFault::kOtherIncarnation;
+    opened.error = TicketError::kOtherIncarnation;
     return opened;
   }
   wire::TicketBody body;
   if (checksum(bytes) != stored_checksum ||
       !body.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())) || body.serial() == 0 ||
       body.serial() > last_serial_) {
-    opened.fault = TicketFault::kModified;
+    opened.error = TicketError::kModified;
     return opened;
   }
-  opened.fault = TicketFault::kNone;
+  opened.error = TicketError::kNone;
   opened.serial = body.serial();
   opened.statement = body.statement();
   opened.announced_schema_hash = body.promised();
   return opened;
 }
 
-bool TicketOffice::first_use(uint64_t serial) {
+bool TicketIssuer::first_use(uint64_t serial) {
   if (serial + kTrackedTickets <= last_serial_) return false;
   const bool first = !used_[serial % kTrackedTickets];
   used_[serial % kTrackedTickets] = true;
--- a/src/flightsql/tickets.h
+++ b/src/flightsql/tickets.h
@@ -12,22 +12,22 @@
 
 namespace sablelink::flightsql {
 
-enum class TicketFault { kNone, kMalformed, kOtherIncarnation, kModified };
+enum class TicketError { kNone, kMalformed, kOtherIncarnation, kModified };
 // The error message for the client.
-const char* ticket_fault_message(TicketFault fault);
+const char* ticket_error_message(TicketError error);
 
 struct OpenedTicket {
-  TicketFault fault = TicketFault::kNone;
+  TicketError error = TicketError::kNone;
   uint64_t serial = 0;
   std::string statement;
   uint64_t announced_schema_hash = 0;  // as given to issue()
 };
 
-class TicketOffice {
+class TicketIssuer {
  public:
   // Both are random numbers drawn when the gateway starts. Every ticket contains incarnation; secret is never
   // sent.
-  TicketOffice(uint64_t incarnation, uint64_t secret)
+  TicketIssuer(uint64_t incarnation, uint64_t secret)
       : incarnation_(incarnation), secret_(secret), used_(kTrackedTickets, false) {}
 
   // announced_schema_hash: hash of the result schema that the FlightInfo with the ticket contains; 0 for
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -8,7 +8,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "nodes/content.h"
 #include "sablelink.pb.h"
 #include "sql/statement.h"
@@ -203,10 +203,10 @@
   report.load = reported();
   if (job != nullptr && status.ok()) {
     report.work_us = job->hint.work_us;
-    report.used_mb = job->hint.memory_mb;
+    report.memory_used_mb = job->hint.memory_mb;
   }
   rpc::Metadata trailers;
-  trailers.emplace_back(kLoadReportKey, encode_report(report));
+  trailers.emplace_back(kLoadReportKey, encode_load_report(report));
   co_await call->finish(std::move(status), std::move(trailers), std::move(last));
 }
 
@@ -373,7 +373,7 @@
     asked.io = job->hint.io;
     asked.memory_mb = job->hint.memory_mb;
     asked.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
-    if (config_.heeds_grants) asked.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
+    if (config_.heeds_grants) asked.grant_mb = std::max(find_number(metadata, kMemoryGrantKey, 0.0), 0.0);
     const sql::StatementInfo info = sql::inspect(statement);
     if (!info.tables.empty())
       asked.group = static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
@@ -439,14 +439,14 @@
 }
 
 Awaitable<bool> StandIn::send_rows(CallPtr call, Content content, bool break_off) {
-  std::string bytes = flight_data(arrowipc::encode_schema(content.schema()));
+  std::string bytes = encode_flight_data(arrowipc::encode_schema(content.schema()));
   bool written = co_await call->write(std::move(bytes));
   int64_t sent = 0;
   const auto most = std::clamp<int64_t>(
       static_cast<int64_t>(config_.batch_bytes / (content.row_bytes() + kRowBytes)), 1, kMostBatchRows);
   do {
     const int64_t count = std::min(most, content.rows() - sent);
-    bytes = flight_data(arrowipc::encode_batch(content.schema(), content.batch(sent, count)));
+    bytes = encode_flight_data(arrowipc::encode_batch(content.schema(), content.batch(sent, count)));
     if (written) written = co_await call->write(std::move(bytes));
     sent += count;
   } while (written && !break_off && sent < content.rows());
--- a/src/service/gateway_core.cpp
+++ b/src/service/gateway_core.cpp
@@ -17,9 +17,9 @@
 flightsql::FlightSqlEngineClientOptions engine_client_options(const config::GatewayConfig& config,
                                                               uint64_t incarnation) {
   flightsql::FlightSqlEngineClientOptions options;
-  options.origin = config.name + "/" + hex(incarnation);
-  options.dial_timeout_us = config.flight_sql.connect_timeout_us;
-  options.connections = config.flight_sql.connections_per_engine;
+  options.request_name_prefix = config.name + "/" + hex(incarnation);
+  options.connect_timeout_us = config.flight_sql.connect_timeout_us;
+  options.connections_per_node = config.flight_sql.connections_per_engine;
   return options;
 }
 
@@ -36,9 +36,9 @@
   GatewaySeeds seeds;
   seeds.incarnation = random();
   seeds.workload_manager = random();
-  seeds.server.life = random();
-  seeds.server.secret = random();
-  seeds.server.handles = random();
+  seeds.server.incarnation = random();
+  seeds.server.ticket_secret = random();
+  seeds.server.handle_seed = random();
   return seeds;
 }
 
@@ -87,8 +87,8 @@
 }
 
 bool GatewayCore::cancel_attempts() {
-  engine_client_.drop_all();
-  return engine_client_.busy() == 0;
+  engine_client_.cancel_all();
+  return engine_client_.active_coroutines() == 0;
 }
 
 }  // namespace sablelink::service
--- a/src/service/gateway_core.h
+++ b/src/service/gateway_core.h
@@ -22,7 +22,7 @@
 
 /// Random seeds of one incarnation of a gateway, drawn when it starts.
 struct GatewaySeeds {
-  uint64_t incarnation = 0;  // part of the origin that identifies this gateway's requests to engines
+  uint64_t incarnation = 0;  // part of the prefix that identifies this gateway's requests to engines
   uint64_t workload_manager = 0;
   flightsql::FlightSqlServerSeeds server;
 
--- a/src/service/gateway_service.cpp
+++ b/src/service/gateway_service.cpp
@@ -109,17 +109,19 @@
 
 void GatewayService::log_column_lookups() {
   inspect([this](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& server) {
-    const schemas::SchemaCache::Counts& store = server.columns().store().counts();
-    const schemas::PlanningCoordinator::Counts& planning = server.columns().planning().counts();
-    log_->info("column_lookups", {{"requested", std::to_string(planning.lookups)},
-                                  {"cache_hits", std::to_string(store.hits)},
-                                  {"cache_misses", std::to_string(store.misses)},
-                                  {"planning_calls", std::to_string(planning.calls)},
-                                  {"planning_calls_shared", std::to_string(planning.shared)},
-                                  {"over_budget", std::to_string(planning.over_budget)},
-                                  {"over_concurrency_limit", std::to_string(planning.over_capacity)},
-                                  {"learned", std::to_string(store.inserted)},
-                                  {"schema_changes", std::to_string(server.columns().changed())}});
+    const schemas::SchemaCache::Counts& store = server.schema_resolver().cache().counts();
+    const schemas::PlanningCoordinator::Counts& planning =
+        server.schema_resolver().planning_coordinator().counts();
+    log_->info("column_lookups",
+               {{"requested", std::to_string(planning.lookups)},
+                {"cache_hits", std::to_string(store.hits)},
+                {"cache_misses", std::to_string(store.misses)},
+                {"planning_calls", std::to_string(planning.calls)},
+                {"planning_calls_shared", std::to_string(planning.shared)},
+                {"over_budget", std::to_string(planning.over_budget)},
+                {"over_concurrency_limit", std::to_string(planning.over_capacity)},
+                {"learned", std::to_string(store.inserted)},
+                {"schema_changes", std::to_string(server.schema_resolver().schema_change_count())}});
   });
 }
 
--- a/src/sim/mutations.cpp
+++ b/src/sim/mutations.cpp
@@ -5,7 +5,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 
 namespace sablelink::sim {
 namespace {
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 
 namespace sablelink::sim {
 namespace {
@@ -74,7 +74,7 @@
   const std::string tag = client_tag(call);
   const auto sent = client_requests_.find(tag);
   const double work = sent != client_requests_.end() ? sent->second.requested_work_us : 0;
-  if (tag.starts_with(flightsql::kPlanTag) && sent == client_requests_.end())
+  if (tag.starts_with(flightsql::kPlanTagPrefix) && sent == client_requests_.end())
     violation(call.client + " sends a planning call that it hasn't logged: " + tag);
   log_event(call.client + " sends " + request + " attempt " + std::to_string(number) + " (" + tag + ") to " +
             node);
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -12,7 +12,7 @@
 #include "base/async_event.h"
 #include "config/gateway_config.h"
 #include "flightsql/client.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "nodes/content.h"
 #include "nodes/stand_in.h"
 #include "service/gateway_core.h"
@@ -385,7 +385,8 @@
     }
     // The remaining coroutines would access freed objects.
     if (!all_ended)
-      throw std::logic_error(g.name + " was killed and " + std::to_string(g.core->engine_client().busy()) +
+      throw std::logic_error(g.name + " was killed and " +
+                             std::to_string(g.core->engine_client().active_coroutines()) +
                              " of its attempts haven't ended");
     g.core.reset();
     g.parts.reset();
@@ -521,20 +522,20 @@
       c.deadline = c.started_at + remaining;
       flightsql::ClientOptions o;
       o.timeout_us = remaining;
-      o.dial_timeout_us = std::min<TimeUs>(remaining, 300 * kMs);
+      o.connect_timeout_us = std::min<TimeUs>(remaining, 300 * kMs);
       o.headers.emplace_back("x-class", r.cls);
       o.headers.emplace_back(std::string(flightsql::kClientTagKey), c.tag);
       if (!r.key.empty()) o.headers.emplace_back("x-order-key", r.key);
-      o.read_every_us = r.read_interval_us;
-      if (r.max_messages_read >= 0) o.stops_after = r.max_messages_read;
+      o.read_delay_us = r.read_interval_us;
+      if (r.max_messages_read >= 0) o.stall_after_messages = r.max_messages_read;
       c.may_end_late =
           r.read_interval_us > 0 || r.max_messages_read >= 0;  // a slow reader delays the end itself
       const auto cancelled = std::make_shared<bool>(false);
       TimeUs cancel_after = attempt == 0 ? r.cancel_after_us : 0;
       if (attempt == 0 && clients_cancel_early()) cancel_after = std::max<TimeUs>(remaining / 8, 1);
       if (cancel_after > 0) {
-        o.cancel = std::make_shared<flightsql::Canceller>();
-        client_process.actor->call_after(cancel_after, [cancel = o.cancel, cancelled] {
+        o.canceller = std::make_shared<flightsql::CallCanceller>();
+        client_process.actor->call_after(cancel_after, [cancel = o.canceller, cancelled] {
           *cancelled = true;
           cancel->cancel_all();
         });
@@ -550,8 +551,8 @@
           co_await to->query(std::move(text), std::move(o), std::move(read));
       const bool served = result.from_gateway && result.verdict == dispatch::RequestStatus::kServed;
       c.response_error = check->fault(served);
-      if (c.response_error.empty() && result.has_schema && result.promised &&
-          *result.promised != result.schema)
+      if (c.response_error.empty() && result.has_schema && result.announced_schema &&
+          *result.announced_schema != result.schema)
         c.response_error = "its schema differs from that of its ticket";
       if (c.response_error.empty() && result.schema_changed)
         c.response_error = "its schema is reported as changed";
@@ -790,12 +791,14 @@
       expect_zero(g.name, "requests", c.tracked_requests());
       expect_zero(g.name, "requests without a response", c.open_requests());
       expect_zero(g.name, "buffered bytes", c.buffered_bytes());
-      expect_zero(g.name, "planning calls", g.core->server().columns().planning().calls_in_flight());
+      expect_zero(g.name, "planning calls",
+                  g.core->server().schema_resolver().planning_coordinator().calls_in_flight());
       expect_zero(g.name, "clients waiting for planning calls",
-                  g.core->server().columns().planning().waiters());
+                  g.core->server().schema_resolver().planning_coordinator().waiters());
       expect_zero(g.name, "calls of clients", network_.running(g.listener));
-      const size_t busy = g.core->engine_client().busy();
-      if (busy > c.outstanding_health_checks()) expect_zero(g.name, "attempts", busy);
+      const size_t active_coroutines = g.core->engine_client().active_coroutines();
+      if (active_coroutines > c.outstanding_health_checks())
+        expect_zero(g.name, "attempts", active_coroutines);
     }
     for (const Node& n : nodes_)
       if (n.up() && !n.stand_in->fallen()) expect_zero(n.name, "calls", network_.running(n.listener));
--- a/tests/flightsql_test.cpp
+++ b/tests/flightsql_test.cpp
@@ -9,8 +9,8 @@
 #include "flightsql/catalog.h"
 #include "flightsql/messages.h"
 #include "flightsql/prepared.h"
+#include "flightsql/protocol.h"
 #include "flightsql/schema_resolver.h"
-#include "flightsql/terms.h"
 #include "flightsql/tickets.h"
 
 namespace sablelink::flightsql {
@@ -40,27 +40,27 @@
 }
 
 TEST(Tickets, AreValidOnlyAtTheGatewayThatIssuedThem) {
-  TicketOffice a(1, 2);
-  TicketOffice other_incarnation(3, 2);
+  TicketIssuer a(1, 2);
+  TicketIssuer other_incarnation(3, 2);
   const std::string ticket = a.issue("SELECT 1");
   const OpenedTicket opened = a.open(ticket);
-  EXPECT_EQ(opened.fault, TicketFault::kNone);
+  EXPECT_EQ(opened.error, TicketError::kNone);
   EXPECT_EQ(opened.statement, "SELECT 1");
-  EXPECT_EQ(other_incarnation.open(ticket).fault, TicketFault::kOtherIncarnation);
-  EXPECT_EQ(a.open("").fault, TicketFault::kMalformed);
-  EXPECT_EQ(a.open("SELECT 1").fault, TicketFault::kMalformed);
+  EXPECT_EQ(other_incarnation.open(ticket).error, TicketError::kOtherIncarnation);
+  EXPECT_EQ(a.open("").error, TicketError::kMalformed);
+  EXPECT_EQ(a.open("SELECT 1").error, TicketError::kMalformed);
 }
 
 RC_GTEST_PROP(Tickets, AnyModifiedByteIsDetected, (uint32_t position, uint8_t mask)) {
-  TicketOffice a(1, 2);
+  TicketIssuer a(1, 2);
   std::string ticket = a.issue("SELECT 1 FROM gallery");
   RC_PRE(mask != 0);
   ticket[position % ticket.size()] = static_cast<char>(ticket[position % ticket.size()] ^ mask);
-  RC_ASSERT(a.open(ticket).fault != TicketFault::kNone);
+  RC_ASSERT(a.open(ticket).error != TicketError::kNone);
 }
 
 TEST(Tickets, FirstUseIsTrueOncePerTicket) {
-  TicketOffice a(1, 2);
+  TicketIssuer a(1, 2);
   a.issue("x");
   a.issue("y");
   EXPECT_TRUE(a.first_use(1));
@@ -136,8 +136,8 @@
   report.load->memory_utilization = 0;
   report.load->disk_utilization = 0.25;
   report.work_us = 2000;
-  report.used_mb = 64;
-  const NodeReport decoded = decode_report(encode_report(report));
+  report.memory_used_mb = 64;
+  const NodeReport decoded = decode_load_report(encode_load_report(report));
   ASSERT_TRUE(decoded.load);
   EXPECT_EQ(decoded.load->in_flight, 3);
   EXPECT_EQ(decoded.load->waiting_for_memory, 0);
@@ -145,13 +145,13 @@
   EXPECT_EQ(decoded.load->memory_utilization, 0);
   EXPECT_EQ(decoded.load->disk_utilization, 0.25);
   EXPECT_EQ(decoded.work_us, 2000);
-  EXPECT_EQ(decoded.used_mb, 64);
+  EXPECT_EQ(decoded.memory_used_mb, 64);
   report.load->in_flight = 1 / 0.0;
   report.load->disk_utilization = -1;
-  EXPECT_FALSE(decode_report(encode_report(report)).load->in_flight);
-  EXPECT_FALSE(decode_report(encode_report(report)).load->disk_utilization);
-  EXPECT_FALSE(decode_report("no report").load);
-  EXPECT_FALSE(decode_report("").load);
+  EXPECT_FALSE(decode_load_report(encode_load_report(report)).load->in_flight);
+  EXPECT_FALSE(decode_load_report(encode_load_report(report)).load->disk_utilization);
+  EXPECT_FALSE(decode_load_report("no report").load);
+  EXPECT_FALSE(decode_load_report("").load);
 }
 
 rpc::CallResult make_call_result(rpc::Code code, bool from_server, rpc::Status status = {}) {
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -22,7 +22,7 @@
 #include "arrowipc/ipc.h"
 #include "config/gateway_config.h"
 #include "flightsql/catalog.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "flightsql/tickets.h"
 #include "http/reader.h"
 #include "nodes/content.h"
@@ -193,9 +193,9 @@
 }
 
 void terms_target(const std::string& bytes) {
-  const flightsql::NodeReport report = flightsql::decode_report(bytes);
+  const flightsql::NodeReport report = flightsql::decode_load_report(bytes);
   if (report.work_us) check(*report.work_us >= 0, "work below 0");
-  if (report.used_mb) check(*report.used_mb >= 0, "memory below 0");
+  if (report.memory_used_mb) check(*report.memory_used_mb >= 0, "memory below 0");
   rpc::CallResult end;
   end.status = {rpc::Code::kUnavailable, "m", bytes};
   end.trailers.emplace_back(std::string(flightsql::kLoadReportKey), bytes);
@@ -299,13 +299,13 @@
          check(content.schema().fields.size() >= 1, "a statement has no columns");
        }});
 
-  static flightsql::TicketOffice office(1, 2);
+  static flightsql::TicketIssuer office(1, 2);
   all.push_back({"ticket",
                  {office.issue("SELECT 1"), office.issue(std::string(300, 's'))},
                  {},
                  [](const std::string& bytes) {
                    const flightsql::OpenedTicket t = office.open(bytes);
-                   if (t.fault != flightsql::TicketFault::kNone) return;
+                   if (t.error != flightsql::TicketError::kNone) return;
                    check(t.statement == "SELECT 1" || t.statement == std::string(300, 's'),
                          "a ticket that was changed opens");
                  }});
@@ -313,9 +313,9 @@
   flightsql::NodeReport report;
   report.load.emplace();
   report.work_us = 12.5;
-  report.used_mb = 3;
+  report.memory_used_mb = 3;
   all.push_back({"terms",
-                 {flightsql::encode_report(report),
+                 {flightsql::encode_load_report(report),
                   flightsql::make_error(rpc::Code::kUnavailable, "full", flightsql::kNodeDomain,
                                         flightsql::kNotAdmitted, 250'000)
                       .details},
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -14,7 +14,7 @@
 #include "audit/auditor.h"
 #include "flightsql/client.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "rpc/grpc_client.h"
 #include "service/gateway_service.h"
 #include "service/node_service.h"
@@ -172,7 +172,7 @@
       if (key == "x-class") r.cls = config_.class_index(value);
       if (key == "x-order-key") r.key = value;
     }
-    o.cancel = cancel_;
+    o.canceller = cancel_;
     r.started_at = wall();
     r.deadline = r.started_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
     QueryResult result;
@@ -237,7 +237,7 @@
   std::vector<std::unique_ptr<service::NodeService>> nodes_;
   std::unique_ptr<service::GatewayService> gateway_;
   std::unique_ptr<Client> client_;
-  std::shared_ptr<flightsql::Canceller> cancel_ = std::make_shared<flightsql::Canceller>();
+  std::shared_ptr<flightsql::CallCanceller> cancel_ = std::make_shared<flightsql::CallCanceller>();
   std::mutex mutex_;
   audit::Records records_;
 };
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -131,13 +131,14 @@
   size_t planning_calls() {
     std::set<std::string> tags;
     for (const NodeEvent& e : recorder_.events())
-      if (e.kind == NodeEvent::Kind::kArrived && e.tag.starts_with(flightsql::kPlanTag)) tags.insert(e.tag);
+      if (e.kind == NodeEvent::Kind::kArrived && e.tag.starts_with(flightsql::kPlanTagPrefix))
+        tags.insert(e.tag);
     return tags.size();
   }
   schemas::SchemaCache::Counts cache_counts() {
     schemas::SchemaCache::Counts counts;
     gateway_->inspect([&](const dispatch::RequestDispatcher&, const flightsql::FlightSqlServer& f) {
-      counts = f.columns().store().counts();
+      counts = f.schema_resolver().cache().counts();
     });
     return counts;
   }
@@ -356,9 +357,9 @@
   EXPECT_EQ(schema_of(info(sql).schema())->fields.size(), 4u);
   spawn(other_client->update("ALTER TABLE gallery ADD COLUMN seen INT", options(5 * kSecond))).get();
   const QueryResult from_other = spawn(other_client->query(sql, options(5 * kSecond))).get();
-  EXPECT_EQ(from_other.promised->fields.size(), 5u);
+  EXPECT_EQ(from_other.announced_schema->fields.size(), 5u);
   const QueryResult from_stale = spawn(client_->query(sql, options(5 * kSecond))).get();
-  EXPECT_EQ(from_stale.promised->fields.size(), 4u);
+  EXPECT_EQ(from_stale.announced_schema->fields.size(), 4u);
   EXPECT_EQ(from_stale.schema.fields.size(), 5u);
   EXPECT_TRUE(from_stale.schema_changed);
   other_client.reset();
@@ -436,8 +437,8 @@
   const std::string sql = "SELECT id, 9 FROM gallery /*+ plan=400ms */";
   auto cancelled_client = open_client();
   ClientOptions client_options = options(5 * kSecond);
-  client_options.cancel = cancel_;
-  auto first = spawn(cancelled_client->ask(sql, client_options));
+  client_options.canceller = cancel_;
+  auto first = spawn(cancelled_client->get_ticket(sql, client_options));
   ASSERT_TRUE(wait_for([&] { return planning_calls() == 1; }));
   fsql::CommandStatementQuery command;
   command.set_query(sql);
@@ -508,9 +509,9 @@
   EXPECT_GT(planning_calls(), 0u);
   EXPECT_LE(planning_calls(), 50u) << "statements over the budget get no columns";
   gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer& f) {
-    EXPECT_LE(f.columns().store().size(), 500u);
-    EXPECT_LE(f.columns().store().bytes(), 128u << 10);
-    EXPECT_EQ(f.columns().planning().waiters(), 0u);
+    EXPECT_LE(f.schema_resolver().cache().size(), 500u);
+    EXPECT_LE(f.schema_resolver().cache().bytes(), 128u << 10);
+    EXPECT_EQ(f.schema_resolver().planning_coordinator().waiters(), 0u);
     EXPECT_EQ(c.buffered_bytes(), 0u);
   });
 }
@@ -549,7 +550,7 @@
   const std::string sql = "SELECT label FROM gallery /*+ rows=3200 row_bytes=65536 work=10ms */";
   auto reader = open_client();
   ClientOptions client_options = options(60 * kSecond);
-  client_options.read_every_us = kMs;
+  client_options.read_delay_us = kMs;
   const auto check = std::make_shared<nodes::AnswerCheck>(sql);
   auto large = spawn(reader->query(sql, client_options, [check](const auto& schema, const auto& batch) {
     check->on_batch(schema, batch);
