--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -67,8 +67,8 @@
   return std::count_if(fields.begin(), fields.end(), [&](const auto& field) { return field.first == name; });
 }
 
-std::string write_request(std::string_view method, std::string_view target, std::string_view host,
-                          const Fields& fields, std::string_view body) {
+std::string serialize_request(std::string_view method, std::string_view target, std::string_view host,
+                              const Fields& fields, std::string_view body) {
   std::string out;
   out.reserve(256 + body.size());
   out += method;
@@ -85,7 +85,7 @@
   return out;
 }
 
-std::string write_response(int status, const Fields& fields, std::string_view body, bool keep_alive) {
+std::string serialize_response(int status, const Fields& fields, std::string_view body, bool keep_alive) {
   std::string out;
   out.reserve(160 + body.size());
   out += "HTTP/1.1 " + std::to_string(status) + " ";
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -34,11 +34,11 @@
 
 /// Serializes a request. Adds Host, and Content-Length if the method or the body requires it. Names and
 /// values of fields must not contain line breaks.
-std::string write_request(std::string_view method, std::string_view target, std::string_view host,
-                          const Fields& fields, std::string_view body = {});
+std::string serialize_request(std::string_view method, std::string_view target, std::string_view host,
+                              const Fields& fields, std::string_view body = {});
 /// Serializes a response. Adds Content-Length, and "Connection: close" unless `keep_alive` is set. Names and
 /// values of fields must not contain line breaks.
-std::string write_response(int status, const Fields& fields, std::string_view body, bool keep_alive);
+std::string serialize_response(int status, const Fields& fields, std::string_view body, bool keep_alive);
 
 /// Parses a number of at most `max` that consists of decimal digits only. Returns -1 for any other text.
 long long parse_decimal(std::string_view text, long long max);
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -327,13 +327,13 @@
 
 // ---- Messages
 
-Request RequestReader::take() {
+Request RequestReader::take_message() {
   Request out = std::move(request_);
   start_next_message();
   return out;
 }
 
-Response ResponseReader::take() {
+Response ResponseReader::take_message() {
   Response out = std::move(response_);
   start_next_message();
   return out;
--- a/src/http/reader.h
+++ b/src/http/reader.h
@@ -115,7 +115,7 @@
   /// Parses the buffered bytes and then `bytes`. Bytes after the end of a message are buffered.
   ParseStatus feed(std::string_view bytes) { return MessageReader::feed(bytes); }
   /// After kComplete: returns the message and starts the next one. feed({}) parses the bytes buffered for it.
-  Request take();
+  Request take_message();
 };
 
 class ResponseReader : public MessageReader {
@@ -129,8 +129,8 @@
   ParseStatus finish() { return MessageReader::finish(); }
   /// After kComplete: the message.
   const Response& response() const { return response_; }
-  /// Like RequestReader::take().
-  Response take();
+  /// Like RequestReader::take_message().
+  Response take_message();
 };
 
 }  // namespace sablelink::http
--- a/src/platform/client_request.cpp
+++ b/src/platform/client_request.cpp
@@ -35,10 +35,10 @@
   static constexpr std::string_view kPath = "/v1/";
   if (!request.target.starts_with(kPath)) return error(404, "no such path");
   const auto cls =
-      std::find(options.classes.begin(), options.classes.end(), request.target.substr(kPath.size()));
-  if (cls == options.classes.end()) return error(404, "no such class");
+      std::find(options.class_names.begin(), options.class_names.end(), request.target.substr(kPath.size()));
+  if (cls == options.class_names.end()) return error(404, "no such class");
   if (request.method != "POST") return error(405, "statements must be sent with POST");
-  parsed.class_index = static_cast<int>(cls - options.classes.begin());
+  parsed.class_index = static_cast<int>(cls - options.class_names.begin());
   return std::nullopt;
 }
 
@@ -93,9 +93,9 @@
                            ClientRequest& parsed) {
   const std::string_view name = http::field_value(request.fields, "x-tenant");
   if (name.empty()) return std::nullopt;
-  const auto tenant = std::find(options.tenants.begin(), options.tenants.end(), name);
-  if (tenant == options.tenants.end()) return error(400, "no such tenant");
-  parsed.tenant = static_cast<int>(tenant - options.tenants.begin());
+  const auto tenant = std::find(options.tenant_names.begin(), options.tenant_names.end(), name);
+  if (tenant == options.tenant_names.end()) return error(400, "no such tenant");
+  parsed.tenant = static_cast<int>(tenant - options.tenant_names.begin());
   return std::nullopt;
 }
 
@@ -109,7 +109,7 @@
 
 OptionalError check_statement(const http::Request& request, const HttpServerOptions&, ClientRequest&) {
   if (request.body.empty()) return error(400, "missing statement");
-  if (!is_plain_text(request.body)) return error(400, "the statement is not valid text");
+  if (!is_valid_text(request.body)) return error(400, "the statement is not valid text");
   return std::nullopt;
 }
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -73,7 +73,7 @@
   config.listen_address = string_member(object, "listen");
   config.seed = parse_seed(string_member(object, "seed"));
   parse_process_limits(object_member(object, "limits"), config);
-  config.watch_address = string_member(object, "changelog");
+  config.change_log_address = string_member(object, "changelog");
   const json::object& settings = object_member(object, "settings");
   config.settings = parse_decision_settings(settings);
   config.names = parse_setting_names(settings);
--- a/src/platform/config.h
+++ b/src/platform/config.h
@@ -24,7 +24,7 @@
   size_t memory_mb = 192;
   size_t max_descriptors = 256;
 
-  std::string watch_address;               // "host:port" of the change log
+  std::string change_log_address;          // "host:port" of the change log
   std::vector<WatchEvent> initial_events;  // of the change log, known at startup
   uint64_t initial_sequence_number = 0;    // of the last event that the configuration covers
 
--- a/src/platform/endpoints/endpoint_watcher.cpp
+++ b/src/platform/endpoints/endpoint_watcher.cpp
@@ -38,7 +38,7 @@
   reader_->add_known_events(config.initial_events, config.initial_sequence_number, event_handler());
   notify_if_changed();
   ++connection_generation_;
-  boost::asio::co_spawn(dialer_.executor(), watch(connection_generation_, config.watch_address),
+  boost::asio::co_spawn(dialer_.executor(), watch(connection_generation_, config.change_log_address),
                         boost::asio::detached);
 }
 
--- a/src/platform/engine_client/connection_pool.cpp
+++ b/src/platform/engine_client/connection_pool.cpp
@@ -211,8 +211,8 @@
   const std::optional<http::Request> request = delegate_.prepare_call(call);
   if (!request) return;
   ++counters_.calls_sent;
-  std::string bytes =
-      http::write_request(request->method, request->target, engine.address, request->fields, request->body);
+  std::string bytes = http::serialize_request(request->method, request->target, engine.address,
+                                              request->fields, request->body);
   const TimeUs long_poll_us = is_long_poll(call.type) ? kLongPollTimeoutUs : 0;
   connection->call_deadline = clock_.now() + kCallTimeoutUs + long_poll_us;
   connection->pending_call = std::move(call);
@@ -299,7 +299,7 @@
 void ConnectionPool::on_response_complete(const EngineStatePtr& engine, const ConnectionPtr& connection,
                                           bool reusable) {
   const WeakPtr<ConnectionPool> self = weak_factory_.get_weak_ptr();
-  const http::Response response = connection->reader.take();
+  const http::Response response = connection->reader.take_message();
   engine->reset_since_last_success = false;
   EngineCall call = std::move(*connection->pending_call);
   connection->pending_call.reset();
--- a/src/platform/http_connection.cpp
+++ b/src/platform/http_connection.cpp
@@ -130,7 +130,7 @@
       respond_and_close(reader_.error_status(), reader_.error());
       return;
     case http::ParseStatus::kComplete: {
-      http::Request request = reader_.take();
+      http::Request request = reader_.take_message();
       parse_status_ = http::ParseStatus::kNeedMore;
       process_request(std::move(request));
       return;
@@ -230,7 +230,7 @@
   enter_stage(Stage::kWritingResponse);
   boost::asio::co_spawn(
       context_.executor,
-      write(shared_from_this(), http::write_response(status, fields, body, keep_alive), keep_alive),
+      write(shared_from_this(), http::serialize_response(status, fields, body, keep_alive), keep_alive),
       boost::asio::detached);
 }
 
--- a/src/platform/pages.cpp
+++ b/src/platform/pages.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 std::optional<std::string> page_to_json_rows(std::string_view page) {
-  if (page.size() > kMaxPageBytes || !is_plain_text(page)) return std::nullopt;
+  if (page.size() > kMaxPageBytes || !is_valid_text(page)) return std::nullopt;
   std::string out;
   out.reserve(page.size() + page.size() / 4);
   while (!page.empty()) {
--- a/src/platform/text_values.cpp
+++ b/src/platform/text_values.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-bool is_plain_text(std::string_view text) {
+bool is_valid_text(std::string_view text) {
   while (!text.empty()) {
     const auto first = static_cast<unsigned char>(text.front());
     size_t length = 0;
--- a/src/service/platform_service.cpp
+++ b/src/service/platform_service.cpp
@@ -33,8 +33,8 @@
 platform::HttpServerOptions http_server_options(const platform::PlatformConfig& config,
                                                 const platform::DescriptorBudget& budget) {
   platform::HttpServerOptions options;
-  options.classes = config.names.classes;
-  options.tenants = config.names.tenants;
+  options.class_names = config.names.classes;
+  options.tenant_names = config.names.tenants;
   for (const ClassSettings& class_settings : config.settings.classes)
     options.max_timeout_us.push_back(class_settings.request_timeout_us);
   options.max_connections = budget.clients;
@@ -96,7 +96,7 @@
 // ---- Reload and endpoints
 
 void PlatformService::reload(const platform::PlatformConfig& config) {
-  log_->info("configuration_reloaded", {{"changelog", config.watch_address}});
+  log_->info("configuration_reloaded", {{"changelog", config.change_log_address}});
   endpoint_watcher_->switch_address(config);
 }
 
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -213,7 +213,7 @@
   for (size_t at = 0; at < bytes.size(); at += step) {
     auto state = reader.feed(std::string_view(bytes).substr(at, step));
     while (state == http::ParseStatus::kComplete) {
-      out += text(reader.take()) + "\n";
+      out += text(reader.take_message()) + "\n";
       state = reader.feed({});
     }
     check(reader.buffered_bytes() <= bytes.size(), "more is held than came");
@@ -231,7 +231,7 @@
   const auto request = [&](const http::Request& r) {
     check(r.body.size() <= 256, "a body passes its limit");
     platform::HttpServerOptions options;
-    options.classes = {"lookup"};
+    options.class_names = {"lookup"};
     options.max_timeout_us = {5'000'000};
     const auto parsed = platform::parse_client_request(r, options);
     if (const auto* valid = std::get_if<platform::ClientRequest>(&parsed))
@@ -345,7 +345,7 @@
        {"\t", "\n", ";", ":", "_", ".", "\"", "'", "1e400", "\xf0\x9f"},
        [](const std::string& text) {
          if (const auto rows = platform::page_to_json_rows(text)) {
-           check(platform::is_plain_text(*rows), "rows that are no text");
+           check(platform::is_valid_text(*rows), "rows that are no text");
            check(std::count(text.begin(), text.end(), '\n') <= std::count(rows->begin(), rows->end(), '['),
                  "a row is lost");
          }
--- a/tests/http/reader_test.cpp
+++ b/tests/http/reader_test.cpp
@@ -27,7 +27,7 @@
   ParseResult out;
   for (size_t at = 0; at < bytes.size() && out.status == ParseStatus::kNeedMore; at += piece_size)
     out.status = reader.feed(std::string_view(bytes).substr(at, piece_size));
-  if (out.status == ParseStatus::kComplete) out.request = reader.take();
+  if (out.status == ParseStatus::kComplete) out.request = reader.take_message();
   out.error_status = reader.error_status();
   return out;
 }
@@ -59,11 +59,11 @@
   RequestReader reader{MessageLimits{}};
   ASSERT_EQ(reader.feed(kPost + kPost.substr(0, 30)), ParseStatus::kComplete);
   EXPECT_TRUE(reader.has_buffered_bytes());
-  reader.take();
+  reader.take_message();
   ASSERT_EQ(reader.feed({}), ParseStatus::kNeedMore);
   ASSERT_EQ(reader.feed(kPost.substr(30)), ParseStatus::kComplete);
   EXPECT_FALSE(reader.has_buffered_bytes());
-  EXPECT_EQ(reader.take().body, "SELECT 1");
+  EXPECT_EQ(reader.take_message().body, "SELECT 1");
   EXPECT_TRUE(reader.is_at_message_start());
 }
 
@@ -142,7 +142,7 @@
     for (size_t at = 0; at < bytes.size(); at += piece_size)
       status = reader.feed(std::string_view(bytes).substr(at, piece_size));
     if (connection_ends) status = reader.finish();
-    return std::make_pair(status, reader.take());
+    return std::make_pair(status, reader.take_message());
   };
   for (const size_t piece_size : {size_t{1}, size_t{3}, size_t{1000}}) {
     const auto [sized_status, sized] =
@@ -168,18 +168,19 @@
 
 TEST(HttpMessage, WrittenMessageIsParsedBack) {
   RequestReader requests{MessageLimits{}};
-  ASSERT_EQ(requests.feed(write_request("POST", "/v2/q", "10.0.0.1:80", {{"X-Ticket", "ab"}}, "SELECT 1")),
-            ParseStatus::kComplete);
-  const Request request = requests.take();
+  ASSERT_EQ(
+      requests.feed(serialize_request("POST", "/v2/q", "10.0.0.1:80", {{"X-Ticket", "ab"}}, "SELECT 1")),
+      ParseStatus::kComplete);
+  const Request request = requests.take_message();
   EXPECT_EQ(field_value(request.fields, "host"), "10.0.0.1:80");
   EXPECT_EQ(field_value(request.fields, "x-ticket"), "ab");
   EXPECT_EQ(request.body, "SELECT 1");
-  ASSERT_EQ(requests.feed(write_request("DELETE", "/v2/q/ab", "h", {})), ParseStatus::kComplete);
+  ASSERT_EQ(requests.feed(serialize_request("DELETE", "/v2/q/ab", "h", {})), ParseStatus::kComplete);
   ResponseReader responses{MessageLimits{}};
-  ASSERT_EQ(responses.feed(write_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)),
+  ASSERT_EQ(responses.feed(serialize_response(503, {{"Retry-After-Ms", "200"}}, "{}", false)),
             ParseStatus::kComplete);
   EXPECT_FALSE(responses.response().keep_alive);
-  EXPECT_EQ(responses.take().body, "{}");
+  EXPECT_EQ(responses.take_message().body, "{}");
 }
 
 TEST(HttpMessage, ParseDecimalAcceptsOnlyDigits) {
--- a/tests/platform/client_request_test.cpp
+++ b/tests/platform/client_request_test.cpp
@@ -13,8 +13,8 @@
 
 platform::HttpServerOptions server_options() {
   platform::HttpServerOptions options;
-  options.classes = {"lookup", "report"};
-  options.tenants = {"north", "south"};
+  options.class_names = {"lookup", "report"};
+  options.tenant_names = {"north", "south"};
   options.max_timeout_us = {2'000'000, 5'000'000};
   return options;
 }
--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -57,7 +57,7 @@
   sends_partial_lines = false;
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(endpoints.size(), 2u);
-  config.watch_address = "10.2.0.2:8500";  // without a listener
+  config.change_log_address = "10.2.0.2:8500";  // without a listener
   watcher->switch_address(config);
   sends_event = true;
   world.run_until(world.now() + 2 * kSecond);
@@ -138,7 +138,7 @@
   EXPECT_GT(connections, connections_before);
   EXPECT_EQ(endpoints.size(), 5u);
   append_event(7);
-  config.watch_address = "10.2.0.2:8500";
+  config.change_log_address = "10.2.0.2:8500";
   watcher->switch_address(config);
   world.run_until(world.now() + kSecond);
   EXPECT_GE(new_address_connections, 1);
--- a/tests/platform/engine_client/connection_pool_test.cpp
+++ b/tests/platform/engine_client/connection_pool_test.cpp
@@ -59,7 +59,8 @@
           if (!bytes || bytes->empty()) co_return;
           ++calls;
           co_await sleep_for(engine_loop, 100 * kMs);
-          const std::string response = http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true);
+          const std::string response =
+              http::serialize_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true);
           co_await rpc::write_all(*stream, response);
         }
       }));
--- a/tests/platform/engine_client/engine_client_harness.h
+++ b/tests/platform/engine_client/engine_client_harness.h
@@ -24,7 +24,7 @@
 inline std::optional<ScriptedResponse> confirm_cancellation_late(
     const ScriptedEngine::ReceivedRequest& received) {
   if (received.request.method != "DELETE") return std::nullopt;
-  return ScriptedResponse{http::write_response(204, {}, "", true), 100 * kMs};
+  return ScriptedResponse{http::serialize_response(204, {}, "", true), 100 * kMs};
 }
 
 }  // namespace sablelink::test
--- a/tests/platform/engine_client/engine_client_test.cpp
+++ b/tests/platform/engine_client/engine_client_test.cpp
@@ -131,12 +131,12 @@
   const std::vector<std::string> malformed_responses = {
       "HTTP/1.1 200 OK\r\nPage-No: 1\r\nContent-Length: 3221225472\r\n\r\n",
       "\x01\x02\x03 noise\r\n\r\n",
-      http::write_response(200, {{"Page-No", "1"}}, "two\tcolumns\n", true),
-      http::write_response(200, {{"Page-No", "1"}}, "a\tb\tno end", true),
-      http::write_response(200, {{"Page-No", "1"}}, "a\t\xff\xfe\tb\n", true),
-      http::write_response(200, {{"Page-No", "2"}}, "another\tpage\tx\n", true),
-      http::write_response(200, {}, "without\ta\tnumber\n", true),
-      http::write_response(404, {}, "", true),
+      http::serialize_response(200, {{"Page-No", "1"}}, "two\tcolumns\n", true),
+      http::serialize_response(200, {{"Page-No", "1"}}, "a\tb\tno end", true),
+      http::serialize_response(200, {{"Page-No", "1"}}, "a\t\xff\xfe\tb\n", true),
+      http::serialize_response(200, {{"Page-No", "2"}}, "another\tpage\tx\n", true),
+      http::serialize_response(200, {}, "without\ta\tnumber\n", true),
+      http::serialize_response(404, {}, "", true),
   };
   for (const std::string& bytes : malformed_responses) {
     PlatformFixture fixture;
@@ -170,7 +170,7 @@
     const auto script =
         [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
       if (received.request.method != "POST" || ++starts > 1) return std::nullopt;
-      return ScriptedResponse{http::write_response(test_case.status, test_case.fields, "", true)};
+      return ScriptedResponse{http::serialize_response(test_case.status, test_case.fields, "", true)};
     };
     engine.script = script;
     other_engine.script = script;
--- a/tests/platform/engine_client/orphaned_attempts_test.cpp
+++ b/tests/platform/engine_client/orphaned_attempts_test.cpp
@@ -45,7 +45,8 @@
   first_engine.script =
       [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
     if (received.request.method != "DELETE" || ++cancellations > 1) return std::nullopt;
-    return ScriptedResponse{http::write_response(404, {}, "", true)};  // does not confirm the cancellation
+    return ScriptedResponse{
+        http::serialize_response(404, {}, "", true)};  // does not confirm the cancellation
   };
   fixture.publish_endpoints();
   fixture.engine_client().start({7, 0}, fixture.engine_id(first_engine), make_spec(make_request_id(7)));
@@ -114,8 +115,8 @@
   first_engine.script =
       [&](const ScriptedEngine::ReceivedRequest& received) -> std::optional<ScriptedResponse> {
     if (received.request.method == "POST")
-      return ScriptedResponse{http::write_response(202, {}, "", true), 300 * kMs};
-    return ScriptedResponse{http::write_response(
+      return ScriptedResponse{http::serialize_response(202, {}, "", true), 300 * kMs};
+    return ScriptedResponse{http::serialize_response(
         received.received_at < first_engine.received_requests[0].received_at + 300 * kMs ? 500 : 204, {}, "",
         true)};
   };
--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -113,7 +113,7 @@
         plain_settings(), 7, dispatch::DispatcherLimits{}, loop_, *engine_client_, endpoint_source_, log_);
     engine_client_->set_dispatcher(dispatcher_.get());
     platform::HttpServerOptions server_options;
-    server_options.classes = engine_options.class_names;
+    server_options.class_names = engine_options.class_names;
     server_options.max_timeout_us = {5 * kSecond, 15 * kSecond};
     server_options.max_connections = connections;
     http_server_ = std::make_unique<platform::HttpServer>(server_options, *dispatcher_, *network_, loop_);
@@ -160,12 +160,12 @@
     client.received.clear();
     return client;
   }
-  static std::string health_check() { return http::write_request("GET", "/healthz", "h", {}); }
+  static std::string health_check() { return http::serialize_request("GET", "/healthz", "h", {}); }
   static std::string query(int n) {
     char id[17];
     std::snprintf(id, sizeof(id), "%016x", n);
-    return http::write_request("POST", "/v1/lookup", "h", {{"X-Request-Id", id}, {"X-Timeout-Ms", "5000"}},
-                               "SELECT 1");
+    return http::serialize_request("POST", "/v1/lookup", "h",
+                                   {{"X-Request-Id", id}, {"X-Timeout-Ms", "5000"}}, "SELECT 1");
   }
   // The number of count_occurrences of the text in the bytes that the engine has received.
   size_t engine_request_count(const std::string& text) {
@@ -295,7 +295,7 @@
   for (int round = 0; round < 50 && disconnected == 0; ++round) {
     // One run of the event loop reads the response. Its connection may be reused only some milliseconds
     // later, when the loop does not run.
-    engine_connections_[0].send(http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true));
+    engine_connections_[0].send(http::serialize_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true));
     loop_.poll();
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
     if (engine_request_count("POST /v2/q ") >
--- a/tests/platform/http_server_test.cpp
+++ b/tests/platform/http_server_test.cpp
@@ -225,7 +225,7 @@
 
 TEST(HttpServer, HealthCheckFailsWhileDraining) {
   PlatformFixture fixture;
-  const std::string health = http::write_request("GET", "/healthz", "h", {});
+  const std::string health = http::serialize_request("GET", "/healthz", "h", {});
   const auto before = fixture.send(health);
   fixture.run_for(100 * kMs);
   EXPECT_EQ(before->status, 200);
--- a/tests/platform/platform_harness.h
+++ b/tests/platform/platform_harness.h
@@ -102,7 +102,7 @@
                 {"Work-Ms", "90"},
                 {"Peak-Mb", "12"},
                 {"X-Meter", "concurrent:3;x0:0.5"}};
-    return http::write_response(200, fields, result_pages[page], true);
+    return http::serialize_response(200, fields, result_pages[page], true);
   }
 
  private:
@@ -119,14 +119,14 @@
       completion_times_by_ticket_[ticket] = received.received_at + execution_time_us;
     if (received.request.method == "DELETE") {
       completion_times_by_ticket_.erase(ticket);
-      return {http::write_response(204, {}, "", true)};
+      return {http::serialize_response(204, {}, "", true)};
     }
     const auto it = completion_times_by_ticket_.find(ticket);
-    if (it == completion_times_by_ticket_.end()) return {http::write_response(500, {}, "", true)};
+    if (it == completion_times_by_ticket_.end()) return {http::serialize_response(500, {}, "", true)};
     if (page != "0") return {page_response(std::stoul(page))};
     const TimeUs remaining = it->second - received.received_at;
     if (remaining <= kLongPollTimeoutUs) return {page_response(0), std::max<TimeUs>(remaining, 0)};
-    return {http::write_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true),
+    return {http::serialize_response(202, {{"X-Remark", "done"}, {"Figure", "0.2"}}, "", true),
             kLongPollTimeoutUs};
   }
 
@@ -140,7 +140,7 @@
         EXPECT_EQ(state, http::ParseStatus::kComplete)
             << "an engine received a malformed request: " << reader.error();
         if (state == http::ParseStatus::kMalformed) co_return;
-        ReceivedRequest received{world_.now(), connection_number, reader.take()};
+        ReceivedRequest received{world_.now(), connection_number, reader.take_message()};
         const bool stays_open = co_await respond(*stream, std::move(received));
         if (!stays_open) co_return;
       }
@@ -192,14 +192,14 @@
  public:
   explicit PlatformFixture(size_t max_client_connections = 20, size_t max_engine_connections = 40) {
     settings_.max_attempts = 6;
-    options_.classes = {"lookup", "report"};
-    options_.tenants = {"north", "south"};
+    options_.class_names = {"lookup", "report"};
+    options_.tenant_names = {"north", "south"};
     for (const ClassSettings& cls : settings_.classes)
       options_.max_timeout_us.push_back(cls.request_timeout_us);
     options_.max_connections = max_client_connections;
     platform::EngineClientOptions engine_options;
     engine_options.budget.engines = max_engine_connections;
-    engine_options.class_names = options_.classes;
+    engine_options.class_names = options_.class_names;
     engine_client_ =
         std::make_unique<platform::EngineClient>(engine_options, dialer_, *actor_, endpoint_registry_);
     dispatcher_ = std::make_unique<dispatch::RequestDispatcher>(
@@ -250,7 +250,7 @@
                                 const http::Fields& more_fields = {}) {
     http::Fields fields = {{"X-Request-Id", id}, {"X-Timeout-Ms", timeout_ms}};
     fields.insert(fields.end(), more_fields.begin(), more_fields.end());
-    return http::write_request("POST", "/v1/" + class_name, "service.internal", fields, statement);
+    return http::serialize_request("POST", "/v1/" + class_name, "service.internal", fields, statement);
   }
 
   struct ClientResponse {
@@ -302,7 +302,7 @@
       if (!piece || piece->empty()) break;
       state = reader.feed(*piece);
       while (state == http::ParseStatus::kComplete) {
-        http::Response response = reader.take();
+        http::Response response = reader.take_message();
         *out = {response.status, std::move(response.fields), std::move(response.body),
                 world_.now() - started_at};
         if (--response_count == 0) co_return;
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -71,11 +71,11 @@
       const std::optional<std::string> bytes = co_await stream->read(4096);
       if (!bytes || bytes->empty()) co_return;
       if (reader.feed(*bytes) != http::ParseStatus::kComplete) continue;
-      const http::Request request = reader.take();
+      const http::Request request = reader.take_message();
       if (request.method == "POST") ++statements_started_;
       if (engine_hangs_) continue;
       if (service_time_us_ > 0) co_await sleep_for(loop_, service_time_us_);
-      const std::string response = http::write_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true);
+      const std::string response = http::serialize_response(200, {{"Page-Count", "1"}}, "a\tb\tc\n", true);
       co_await rpc::write_all(*stream, response);
     }
   }
@@ -115,9 +115,9 @@
   static std::string statement_request(int number, const char* timeout_ms = "20000") {
     char id[sizeof("0123456789abcdef")];
     std::snprintf(id, sizeof(id), "%016x", number);
-    return http::write_request("POST", "/v1/lookup", "h",
-                               {{"X-Request-Id", id}, {"X-Timeout-Ms", timeout_ms}},
-                               "SELECT 1 FROM sales_1.orders");
+    return http::serialize_request("POST", "/v1/lookup", "h",
+                                   {{"X-Request-Id", id}, {"X-Timeout-Ms", timeout_ms}},
+                                   "SELECT 1 FROM sales_1.orders");
   }
   // Runs the loop until the condition is true; returns false if it isn't within 30 s.
   bool run_until(const std::function<bool()>& condition) {
@@ -163,7 +163,7 @@
   start();
   int health = -1;
   int first = -1;
-  start_request(http::write_request("GET", "/healthz", "h", {}), &health);
+  start_request(http::serialize_request("GET", "/healthz", "h", {}), &health);
   start_request(statement_request(1), &first);
   EXPECT_TRUE(run_until([&] { return health >= 0 && first >= 0; }));
   EXPECT_EQ(health, 200);
