--- a/src/base/timer_heap.h
+++ b/src/base/timer_heap.h
@@ -33,7 +33,7 @@
   }
   /// Runs the callbacks whose deadlines are at or before the given time. The clock isn't read again
   /// meanwhile, so callbacks that add further ones can't keep an event loop from polling its sockets.
-  void run_due(TimeUs now) {
+  void run_expired(TimeUs now) {
     while (!empty() && next_deadline() <= now) {
       const std::function<void()> callback = pop();
       callback();
--- a/src/dispatch/request_dispatcher.cpp
+++ b/src/dispatch/request_dispatcher.cpp
@@ -131,7 +131,7 @@
 
 void RequestDispatcher::on_client_disconnected(RequestId id) {
   const bool has_unread = buffers_.has_unconsumed(id);
-  forget_unconsumed(id);
+  discard_unconsumed(id);
   TrackedRequest* const request = requests_.find(id);
   if (request == nullptr || !request->is_open()) return;
   if (has_unread) ++counters_.disconnected_unread;
@@ -419,7 +419,7 @@
   }
 }
 
-void RequestDispatcher::forget_unconsumed(RequestId id) { buffers_.forget_unconsumed(id); }
+void RequestDispatcher::discard_unconsumed(RequestId id) { buffers_.discard_unconsumed(id); }
 
 // ---- Health checks
 
--- a/src/dispatch/request_dispatcher.h
+++ b/src/dispatch/request_dispatcher.h
@@ -121,7 +121,7 @@
 
  protected:
   /// Stops counting the unconsumed bytes of a request. Virtual so that tests can inject a defect.
-  virtual void forget_unconsumed(RequestId id);
+  virtual void discard_unconsumed(RequestId id);
 
  private:
   // Completion of an attempt that results from a decision of the workload manager during an event. The
--- a/src/dispatch/response_buffer.cpp
+++ b/src/dispatch/response_buffer.cpp
@@ -37,7 +37,7 @@
   if (it->second == 0) unconsumed_.erase(it);
 }
 
-void ResponseBufferPool::forget_unconsumed(RequestId request) {
+void ResponseBufferPool::discard_unconsumed(RequestId request) {
   const auto it = unconsumed_.find(request);
   if (it == unconsumed_.end()) return;
   total_bytes_ -= it->second;
--- a/src/dispatch/response_buffer.h
+++ b/src/dispatch/response_buffer.h
@@ -42,7 +42,7 @@
   /// Removes bytes that a client has read, at most as many as are unconsumed.
   void consume(RequestId request, size_t bytes);
   /// Removes all unconsumed bytes of a request.
-  void forget_unconsumed(RequestId request);
+  void discard_unconsumed(RequestId request);
   bool has_unconsumed(RequestId request) const { return unconsumed_.contains(request); }
   /// Whether so many bytes are unconsumed that reading from the engine should pause.
   bool is_window_exceeded(RequestId request) const {
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -53,7 +53,7 @@
   entry.bound.statement = statement;
   entry.bytes = memory_bytes(entry.bound);
   if (!ensure_capacity(now, 1, entry.bytes, nullptr)) return std::nullopt;
-  const uint64_t suffix = mix(handle_seed_ + ++last_id_);
+  const uint64_t suffix = mix_bits(handle_seed_ + ++last_id_);
   entry.handle.assign(reinterpret_cast<const char*>(&last_id_), 8);
   entry.handle.append(reinterpret_cast<const char*>(&suffix), 8);
   entry.last_used_at = now;
--- a/src/rpc/asio_loop.cpp
+++ b/src/rpc/asio_loop.cpp
@@ -23,7 +23,7 @@
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;  // cancelled, as the timer was set again to expire earlier
     timer_expires_at_.reset();
-    timers_.run_due(now());
+    timers_.run_expired(now());
     arm_timer();
   });
 }
--- a/src/rpc/grpc_loop.cpp
+++ b/src/rpc/grpc_loop.cpp
@@ -88,7 +88,7 @@
   while (!stopping_) {
     context_.poll();
     if (!timers_.empty()) {
-      timers_.run_due(now());
+      timers_.run_expired(now());
       context_.poll();
     }
     if (queue_->AsyncNext(&tag, &ok, time_until_next_timer()) == grpc::CompletionQueue::GOT_EVENT) {
--- a/src/sim/mutations.cpp
+++ b/src/sim/mutations.cpp
@@ -73,7 +73,7 @@
   using RequestDispatcher::RequestDispatcher;
 
  private:
-  void forget_unconsumed(RequestId) override {}
+  void discard_unconsumed(RequestId) override {}
 };
 
 }  // namespace
--- a/src/workload/placement.cpp
+++ b/src/workload/placement.cpp
@@ -29,7 +29,8 @@
 
 // Rendezvous hashing, weighted by cores; gives the same ranks on every gateway.
 double rendezvous_rank(int64_t table_group, const Engine& engine) {
-  const double random = unit(mix(engine.endpoint.engine * 0x9e3779b97f4a7c15ull ^ table_group));
+  const double random =
+      to_unit_interval(mix_bits(engine.endpoint.engine * 0x9e3779b97f4a7c15ull ^ table_group));
   return -std::log(random + 1e-12) / engine.cores;
 }
 
--- a/src/workload/random.h
+++ b/src/workload/random.h
@@ -6,14 +6,14 @@
 namespace sablelink {
 
 /// Mixes the 64 input bits; each bit of the result depends on all of them.
-inline uint64_t mix(uint64_t bits) {
+inline uint64_t mix_bits(uint64_t bits) {
   bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9ull;
   bits = (bits ^ (bits >> 27)) * 0x94d049bb133111ebull;
   return bits ^ (bits >> 31);
 }
 
-/// Maps the output of mix() to [0, 1).
-inline double unit(uint64_t mixed) { return (mixed >> 11) * 0x1p-53; }
+/// Maps the output of mix_bits() to [0, 1).
+inline double to_unit_interval(uint64_t mixed) { return (mixed >> 11) * 0x1p-53; }
 
 class Random {
  public:
@@ -21,10 +21,10 @@
   /// Integer in [0, n - 1]; n must be at least 1.
   uint64_t pick(uint64_t n) { return next() % n; }
   /// Number in [0, 1).
-  double draw() { return unit(next()); }
+  double draw() { return to_unit_interval(next()); }
 
  private:
-  uint64_t next() { return mix(state_ += 0x9e3779b97f4a7c15ull); }
+  uint64_t next() { return mix_bits(state_ += 0x9e3779b97f4a7c15ull); }
   uint64_t state_;
 };
 
--- a/tests/dispatch/response_buffer_test.cpp
+++ b/tests/dispatch/response_buffer_test.cpp
@@ -68,7 +68,7 @@
   ResponseBufferPool pool(kLimits);
   pool.add_unconsumed(kRequest, 3);
   pool.add_unconsumed(kOtherRequest, 2);
-  pool.forget_unconsumed(kRequest);
+  pool.discard_unconsumed(kRequest);
   pool.consume(kRequest, 3);
   EXPECT_EQ(pool.total_bytes(), 2u);
   EXPECT_TRUE(pool.has_unconsumed(kOtherRequest));
