--- a/tests/platform/endpoints/endpoint_watcher_test.cpp
+++ b/tests/platform/endpoints/endpoint_watcher_test.cpp
@@ -18,8 +18,8 @@
 // Bytes that do not complete a line are no heartbeat. Events from the old address are applied
 // until a connection to the new one is established.
 TEST(EndpointWatcher, PartialLinesAreNoHeartbeatAndOldConnectionIsUsedUntilNewOneIsEstablished) {
-  sim::Account account;
-  sim::World world(7, account);
+  sim::EventLog event_log;
+  sim::World world(7, event_log);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
@@ -57,7 +57,7 @@
   sends_partial_lines = false;
   world.run_until(world.now() + 2500 * kMs);
   EXPECT_EQ(endpoints.size(), 2u);
-  config.watch_address = "10.2.0.2:8500";  // without a listener
+  config.change_log_address = "10.2.0.2:8500";  // without a listener
   watcher->switch_address(config);
   sends_event = true;
   world.run_until(world.now() + 2 * kSecond);
@@ -69,8 +69,8 @@
 
 // The change log disconnects within an event, repeats events, stops sending and moves to a new address.
 TEST(EndpointWatcher, ListStaysCompleteAfterDisconnectsMissingHeartbeatsAndNewAddress) {
-  sim::Account account;
-  sim::World world(7, account);
+  sim::EventLog event_log;
+  sim::World world(7, event_log);
   sim::Streams streams(world, {});
   const auto server = sim::Actor::make(world, "log");
   const auto gateway = sim::Actor::make(world, "gateway");
@@ -138,7 +138,7 @@
   EXPECT_GT(connections, connections_before);
   EXPECT_EQ(endpoints.size(), 5u);
   append_event(7);
-  config.watch_address = "10.2.0.2:8500";
+  config.change_log_address = "10.2.0.2:8500";
   watcher->switch_address(config);
   world.run_until(world.now() + kSecond);
   EXPECT_GE(new_address_connections, 1);
