--- a/src/cli/badday.cpp
+++ b/src/cli/badday.cpp
@@ -26,7 +26,7 @@
   return script;
 }
 
-// Creates the folder and removes the records of an earlier drill, which would be taken for this one's.
+// Creates the folder and removes the record files of an earlier run, which the audit would otherwise include.
 void prepare_folder(const fs::path& folder, int nodes) {
   std::error_code error;
   fs::create_directories(folder, error);
@@ -37,18 +37,18 @@
 }
 
 void print_node_event(const nodes::NodeEvent& event) {
-  static constexpr const char* kKinds[] = {"started", "arrived", "ended", "fell"};
-  static constexpr const char* kEnds[] = {"answered", "error", "refused", "cancelled", "broken"};
+  static constexpr const char* kKindNames[] = {"started", "arrived", "ended", "fell"};
+  static constexpr const char* kEndNames[] = {"answered", "error", "refused", "cancelled", "broken"};
   std::printf("%lld %s %s attempt %d %s", static_cast<long long>(event.at), event.node.c_str(),
-              event.request.c_str(), event.attempt, kKinds[static_cast<int>(event.kind)]);
+              event.request.c_str(), event.attempt, kKindNames[static_cast<int>(event.kind)]);
   if (event.kind == nodes::NodeEvent::Kind::kEnded) {
-    std::printf(" %s, %s, %s", kEnds[static_cast<int>(event.end)], event.ran ? "ran" : "never ran",
+    std::printf(" %s, %s, %s", kEndNames[static_cast<int>(event.end)], event.ran ? "ran" : "never ran",
                 event.done ? "work done" : "work not done");
   }
   std::printf("\n");
 }
 
-void print_events_of(const std::string& tag, std::vector<nodes::NodeEvent> events) {
+void print_events_with_tag(const std::string& tag, std::vector<nodes::NodeEvent> events) {
   std::stable_sort(events.begin(), events.end(),
                    [](const nodes::NodeEvent& a, const nodes::NodeEvent& b) { return a.at < b.at; });
   for (const nodes::NodeEvent& event : events) {
@@ -70,17 +70,17 @@
               folder.c_str());
   std::fflush(stdout);
 
-  const badday::DayOptions day{fs::read_symlink("/proc/self/exe"), folder};
-  const badday::DayResult result = badday::run_day(script, day, system);
+  const badday::DayOptions day_options{fs::read_symlink("/proc/self/exe"), folder};
+  const badday::DayResult result = badday::run_day(script, day_options, system);
   const std::string report = audit::render(result.settings, result.report);
   std::ofstream(folder / "report.txt") << report;
   std::fputs(report.c_str(), stdout);
   if (!result.trouble.empty()) {
-    std::fprintf(stderr, "sablelink: the day itself went wrong: %s\n", result.trouble.c_str());
+    std::fprintf(stderr, "sablelink: the fault-injection run itself failed: %s\n", result.trouble.c_str());
     return kError;
   }
   if (const int rule = result.report.untouched_rule(); rule != 0) {
-    std::fprintf(stderr, "sablelink: rule %d was never at stake on this day, so it proves nothing of it\n",
+    std::fprintf(stderr, "sablelink: the script never exercised rule %d, so the run doesn't verify it\n",
                  rule);
     return kError;
   }
@@ -96,7 +96,7 @@
     std::move(events.begin(), events.end(), std::back_inserter(records.nodes));
   }
   if (!tag.empty()) {
-    print_events_of(tag, std::move(records.nodes));
+    print_events_with_tag(tag, std::move(records.nodes));
     return kSuccess;
   }
   const audit::AuditSettings settings;
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
-// The command line. Whatever only the system can tell (time, random numbers, arguments, signals) enters here
-// and is passed down.
+// The command line. Time, random numbers, arguments and signals of the operating system are obtained in this
+// folder and passed to the other code.
 #include <google/protobuf/stubs/logging.h>
 
 #include <CLI/CLI.hpp>
@@ -20,7 +20,7 @@
 namespace sablelink::cli {
 namespace {
 
-// What the arguments ask for; set while they are parsed, run afterwards.
+// The selected subcommand; set while the arguments are parsed, run afterwards.
 using Command = std::function<int()>;
 
 service::System operating_system() {
@@ -33,13 +33,16 @@
   return system;
 }
 
-// Each of the following adds a subcommand, which sets the command where the arguments name it.
+// Each of the following functions adds a subcommand, whose callback sets `command` if the arguments select
+// it.
 
 void add_up(CLI::App& app, const service::System& system, Command& command) {
-  CLI::App* const up = app.add_subcommand("up", "One gateway with stand-in nodes, for trying it out");
+  CLI::App* const up =
+      app.add_subcommand("up", "Run a gateway and stand-in nodes in one process, for trying it out");
   const auto options = std::make_shared<UpOptions>();
-  up->add_option("--listen", options->listen_address, "Where Flight SQL is served")->capture_default_str();
-  up->add_option("--nodes", options->engines, "How many stand-in nodes")
+  up->add_option("--listen", options->listen_address, "Address on which Flight SQL is served")
+      ->capture_default_str();
+  up->add_option("--nodes", options->engines, "Number of stand-in nodes")
       ->capture_default_str()
       ->check(CLI::Range(1, 64));
   up->callback(
@@ -56,9 +59,9 @@
 }
 
 void add_serve(CLI::App& app, const service::System& system, Command& command) {
-  CLI::App* const serve = app.add_subcommand("serve", "Run a gateway on the users' platform");
+  CLI::App* const serve = app.add_subcommand("serve", "Run a gateway with the platform's protocol");
   serve->add_flag("--platform")
-      ->description("Use the platform's protocol and the configuration that BALANCER_CONFIG names")
+      ->description("Use the platform's protocol and the configuration file that BALANCER_CONFIG names")
       ->required();
   serve->callback([&system, &command] { command = [&system] { return run_platform(system); }; });
 }
@@ -73,10 +76,10 @@
 }
 
 void add_config(CLI::App& app, Command& command) {
-  CLI::App* const config = app.add_subcommand("config", "Work on configurations");
+  CLI::App* const config = app.add_subcommand("config", "Configuration tools");
   config->require_subcommand(1);
   CLI::App* const check =
-      config->add_subcommand("check", "Check the configuration of a gateway or of a stand-in node");
+      config->add_subcommand("check", "Check the configuration file of a gateway or of a stand-in node");
   const auto config_file = std::make_shared<std::string>();
   check->add_option("file", *config_file, "The configuration")->required();
   check->callback(
@@ -87,36 +90,37 @@
   CLI::App* const query = app.add_subcommand("query", "Send a statement and print its result");
   const auto options = std::make_shared<QueryOptions>();
   query->add_option("statement", options->statement, "SQL")->required();
-  query->add_option("--endpoint", options->endpoint, "Where a gateway listens")->capture_default_str();
-  query->add_option("--timeout", options->timeout_s, "How long to wait, in seconds")->capture_default_str();
-  query->add_option("--header", options->headers, "A header as name=value; may be repeated");
+  query->add_option("--endpoint", options->endpoint, "Address of the gateway")->capture_default_str();
+  query->add_option("--timeout", options->timeout_s, "Timeout in seconds")->capture_default_str();
+  query->add_option("--header", options->headers, "A request header as name=value; may be repeated");
   query->add_flag("--json", options->json, "Print rows as JSON lines");
-  query->add_flag("--update", options->update, "Run as an update, whose result is a number of rows");
-  query->footer("Exit codes: 0 served, 3 rejected (trying again is harmless), 4 failed, 1 wrong usage");
+  query->add_flag("--update", options->update, "Run as an update, whose result is a row count");
+  query->footer("Exit codes: 0 served, 3 rejected (a retry is safe), 4 failed, 1 invalid usage");
   query->callback(
       [options, &system, &command] { command = [options, &system] { return run_query(*options, system); }; });
 }
 
 void add_badday(CLI::App& app, const service::System& system, Command& command) {
-  CLI::App* const badday = app.add_subcommand("badday", "Run a scripted fault drill and audit it");
+  CLI::App* const badday =
+      app.add_subcommand("badday", "Inject scripted faults into real processes and audit the run");
   const auto options = std::make_shared<BadDayOptions>();
-  badday->add_option("--script", options->script_file, "Another script than the built-in one");
+  badday->add_option("--script", options->script_file, "Script to run instead of the built-in one");
   badday->add_option("--report", options->report_folder,
                      "Folder for the report, records, logs and configurations");
-  badday->add_option("--length", options->max_length_s, "End the drill after this many seconds");
-  badday->footer("Exit codes: 0 all rules kept, 4 a rule was broken, 1 the drill itself failed");
+  badday->add_option("--length", options->max_length_s, "End the run after this many seconds");
+  badday->footer("Exit codes: 0 no rule violated, 4 a rule was violated, 1 the run itself failed");
   badday->callback([options, &system, &command] {
     command = [options, &system] { return run_badday(*options, system); };
   });
 }
 
 void add_audit(CLI::App& app, Command& command) {
-  CLI::App* const audit = app.add_subcommand("audit", "Audit records of stand-in nodes");
+  CLI::App* const audit = app.add_subcommand("audit", "Audit the records of stand-in nodes");
   const auto record_files = std::make_shared<std::vector<std::string>>();
   const auto tag = std::make_shared<std::string>();
   audit->add_option("records", *record_files, "Record files")->required();
-  audit->add_option("--tag", *tag, "Print what the records have of this request instead");
-  audit->footer("Exit codes: 0 all rules kept, 4 a rule was broken");
+  audit->add_option("--tag", *tag, "Print the recorded events of this request instead");
+  audit->footer("Exit codes: 0 no rule violated, 4 a rule was violated");
   audit->callback([record_files, tag, &command] {
     command = [record_files, tag] { return run_audit(*record_files, *tag); };
   });
@@ -124,22 +128,23 @@
 
 void add_simulate(CLI::App& app, Command& command) {
   CLI::App* const simulate =
-      app.add_subcommand("simulate", "Run the gateway's code in seeded worlds on a virtual clock");
+      app.add_subcommand("simulate", "Run the gateway's code in seeded scenarios on a virtual clock");
   const auto options = std::make_shared<SimulateOptions>();
   simulate->add_option("--seeds,--seed", options->seeds, "One seed, or a range like 1..1000");
   simulate->add_option("--scenario", options->scenario_file, "A scenario file");
   simulate->add_option("--corpus", options->corpus_folder,
-                       "Folder of scenarios to run; failing worlds are written to it");
-  simulate->add_option("--jobs", options->jobs, "Worlds simulated at a time")
+                       "Folder of scenarios to run; failing ones are written to it");
+  simulate->add_option("--jobs", options->jobs, "Number of scenarios simulated in parallel")
       ->capture_default_str()
       ->check(CLI::Range(1, 256));
-  simulate->add_flag("--trace", options->trace, "Print the event log of a single world");
-  simulate->add_flag("--shrink", options->shrink, "Reduce a failing world and print it as a scenario");
-  simulate->add_option("--shrink-runs", options->max_shrink_runs, "At most this many runs to reduce a world")
+  simulate->add_flag("--trace", options->trace, "Print the event log of a single scenario");
+  simulate->add_flag("--shrink", options->shrink, "Reduce a failing scenario and print it");
+  simulate
+      ->add_option("--shrink-runs", options->max_shrink_runs, "Maximum number of runs to reduce a scenario")
       ->capture_default_str();
-  simulate->add_flag("--coverage", options->coverage, "Print which pairs of faults overlapped");
-  simulate->add_option("--defect", options->defect, "Plant a defect, to check that it is found")->group("");
-  simulate->footer("Exit codes: 0 all rules kept, 4 a rule was broken");
+  simulate->add_flag("--coverage", options->coverage, "Print which pairs of faults overlapped in time");
+  simulate->add_option("--defect", options->defect, "Inject a bug, to check that it is detected")->group("");
+  simulate->footer("Exit codes: 0 no rule violated, 4 a rule was violated");
   simulate->callback([options, &command] { command = [options] { return run_simulate(*options); }; });
 }
 
@@ -160,8 +165,8 @@
   add_simulate(app, command);
   CLI11_PARSE(app, argc, argv);
 
-  // Protobuf would write to standard error for each malformed message; the client that sent it gets an error
-  // instead.
+  // By default, protobuf writes to standard error for each malformed message. The client that sent it
+  // receives an error, so the log would only repeat it.
   google::protobuf::SetLogHandler(nullptr);
   try {
     return command();
--- a/src/cli/query.cpp
+++ b/src/cli/query.cpp
@@ -12,7 +12,7 @@
 
 using arrowipc::Value;
 
-constexpr size_t kColumnGap = 2;  // spaces between columns of a table
+constexpr size_t kColumnGapSpaces = 2;
 
 std::string to_json_string(std::string_view text) { return "\"" + json_escaped(text) + "\""; }
 
@@ -46,7 +46,7 @@
 
 using TableRow = std::vector<std::string>;
 
-// The header and the rows.
+// Returns the header row, followed by the data rows.
 std::vector<TableRow> format_rows(const arrowipc::Schema& schema,
                                   const std::vector<arrowipc::Batch>& batches) {
   std::vector<TableRow> rows(1);
@@ -76,7 +76,7 @@
     std::string line;
     for (size_t column = 0; column < row.size(); ++column) {
       line += row[column];
-      if (column + 1 < row.size()) line.append(widths[column] - row[column].size() + kColumnGap, ' ');
+      if (column + 1 < row.size()) line.append(widths[column] - row[column].size() + kColumnGapSpaces, ' ');
     }
     std::printf("%s\n", line.c_str());
   }
@@ -111,7 +111,7 @@
   const std::string code(rpc::code_name(result.status.code));
   std::fprintf(stderr, "sablelink: %s: %s\n", code.c_str(), result.status.message.c_str());
   if (result.retry_after_us) {
-    std::fprintf(stderr, "sablelink: try again after %.3f s\n", *result.retry_after_us / 1e6);
+    std::fprintf(stderr, "sablelink: retry after %.3f s\n", *result.retry_after_us / 1e6);
   }
 }
 
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -22,8 +22,8 @@
 
 constexpr TimeUs kNodeShutdownGraceUs = 10'000'000;
 
-// SIGTERM and SIGINT ask for a shutdown, SIGHUP for a reload. From its construction on they don't end the
-// process.
+// Calls on_shutdown on SIGTERM and SIGINT, and on_reload on SIGHUP. While a handler exists, these signals
+// don't terminate the process.
 class SignalHandler {
  public:
   struct Callbacks {
@@ -31,7 +31,7 @@
     std::function<void()> on_reload;
   };
 
-  // The callbacks run on the io_context.
+  // The callbacks run on the threads of the io_context.
   SignalHandler(boost::asio::io_context& context, Callbacks callbacks)
       : signals_(context, SIGTERM, SIGINT, SIGHUP), callbacks_(std::move(callbacks)) {
     wait();
@@ -51,11 +51,11 @@
   const Callbacks callbacks_;
 };
 
-// Signals for a program whose work is done on other threads.
+// Handles signals on the calling thread, for programs whose work runs on other threads.
 class ForegroundSignals {
  public:
   void on_reload(std::function<void()> fn) { reload_ = std::move(fn); }
-  // Returns once the process is asked to shut down. Reloads run on the calling thread until then.
+  // Blocks until SIGTERM or SIGINT. Until then, reloads run on the calling thread.
   void wait_for_shutdown() { context_.run(); }
 
  private:
@@ -69,7 +69,7 @@
   std::fflush(stdout);
 }
 
-// The gateway's configuration under "up"; its engines are added to it.
+// Configuration of the gateway that "up" runs; run_up() adds the engines.
 constexpr std::string_view kUpConfig = R"(
 [[class]]
 name = "query"
@@ -166,13 +166,14 @@
 
 int run_platform(const service::System& system) {
   const char* const config_file = std::getenv("BALANCER_CONFIG");
-  if (config_file == nullptr) throw CommandError("BALANCER_CONFIG names no file");
+  if (config_file == nullptr) throw CommandError("the environment variable BALANCER_CONFIG isn't set");
   service::PlatformService gateway(platform::parse_config(read_file(config_file)), system);
   const auto reload = [&] {
     try {
       gateway.reload(platform::parse_config(read_file(config_file)));
     } catch (const Error& e) {
-      std::fprintf(stderr, "sablelink: reload rejected, the configuration stays: %s\n", e.what());
+      std::fprintf(stderr, "sablelink: reload rejected, the previous configuration stays in use: %s\n",
+                   e.what());
     }
   };
   SignalHandler signals(gateway.loop().context(), {[&] { gateway.start_graceful_shutdown(); }, reload});
@@ -183,7 +184,7 @@
 
 int run_config_check(const std::string& config_file) {
   const std::string text = read_file(config_file);
-  // An engine emulator's configuration has a [node], a gateway's has [[node]]s.
+  // The configuration of an engine emulator has one [node] table, that of a gateway a [[node]] array.
   const bool is_emulator = config::Section::parse(text, config_file).has_table("node");
   if (is_emulator) {
     nodes::parse_node_config(text, config_file);
--- a/src/cli/simulate.cpp
+++ b/src/cli/simulate.cpp
@@ -24,7 +24,7 @@
 using sim::RunResult;
 using sim::Scenario;
 
-constexpr size_t kMaxPrintedFindings = 10;  // of one scenario
+constexpr size_t kMaxPrintedFindingsPerScenario = 10;
 constexpr size_t kMaxPrintedFailures = 20;
 
 struct SeedRange {
@@ -51,7 +51,7 @@
   return value;
 }
 
-// "7" or "1..1000".
+// Parses "7" or "1..1000".
 SeedRange parse_seeds(const std::string& text) {
   const size_t dots = text.find("..");
   const std::optional<uint64_t> first = parse_number(text.substr(0, dots));
@@ -60,7 +60,7 @@
   if (!first || !last) {
     throw CommandError("--seeds '" + text + "' is neither a number nor a range such as 1..1000");
   }
-  if (*first > *last) throw CommandError("--seeds '" + text + "' has its end before its start");
+  if (*first > *last) throw CommandError("--seeds '" + text + "' has a last seed below its first");
   return {*first, *last};
 }
 
@@ -75,7 +75,7 @@
   return files;
 }
 
-// The scenarios to run: given ones first, those made from seeds after them.
+// The scenarios to run: those read from files, followed by those generated from seeds.
 class ScenarioList {
  public:
   explicit ScenarioList(const SimulateOptions& options) {
@@ -85,32 +85,34 @@
     }
     if (!options.seeds.empty()) {
       seeds_ = parse_seeds(options.seeds);
-    } else if (given_.empty()) {
+    } else if (file_scenarios_.empty()) {
       seeds_ = kDefaultSeeds;
     }
   }
 
   uint64_t size() const {
-    const uint64_t seeded = seeds_ ? seeds_->last - seeds_->first + 1 : 0;
-    return given_.size() + seeded;
+    const uint64_t seed_count = seeds_ ? seeds_->last - seeds_->first + 1 : 0;
+    return file_scenarios_.size() + seed_count;
   }
 
   Scenario at(uint64_t index) const {
-    if (index < given_.size()) return given_[index];
-    return sim::make_scenario(seeds_->first + (index - given_.size()));
+    if (index < file_scenarios_.size()) return file_scenarios_[index];
+    return sim::make_scenario(seeds_->first + (index - file_scenarios_.size()));
   }
 
  private:
-  void add_file(const std::string& file) { given_.push_back(sim::parse_scenario(read_file(file), file)); }
+  void add_file(const std::string& file) {
+    file_scenarios_.push_back(sim::parse_scenario(read_file(file), file));
+  }
 
-  std::vector<Scenario> given_;
+  std::vector<Scenario> file_scenarios_;
   std::optional<SeedRange> seeds_;
 };
 
 // ---- Output
 
 void print_findings(const std::vector<audit::Finding>& findings) {
-  const size_t printed = std::min(findings.size(), kMaxPrintedFindings);
+  const size_t printed = std::min(findings.size(), kMaxPrintedFindingsPerScenario);
   for (size_t i = 0; i < printed; ++i) {
     const audit::Finding& finding = findings[i];
     if (finding.rule == 0) {
@@ -123,12 +125,12 @@
 }
 
 std::string format_ends(const sim::Ends& ends) {
-  constexpr const char* kNames[audit::ClientRecord::kEnds] = {"served",     "refused", "failed",
-                                                              "unanswered", "left",    "out of reach"};
+  constexpr const char* kEndNames[audit::ClientRecord::kEnds] = {"served",     "refused", "failed",
+                                                                 "unanswered", "left",    "out of reach"};
   std::string text;
   for (size_t i = 0; i < ends.count.size(); ++i) {
     if (i > 0) text += ", ";
-    text += std::string(kNames[i]) + " " + std::to_string(ends.count[i]);
+    text += std::string(kEndNames[i]) + " " + std::to_string(ends.count[i]);
   }
   return text;
 }
@@ -144,28 +146,29 @@
 
 void print_coverage(const sim::Pairs& pairs) {
   std::printf("\ntroubles met (their number in all worlds) and pairs that overlapped:\n");
-  size_t met = 0;
-  size_t all = 0;
-  std::string never_met;
+  size_t overlapping_pairs = 0;
+  size_t total_pairs = 0;
+  std::string missing_pairs;
   for (int a = 0; a < sim::kTroubles; ++a) {
     const std::string name_a = sim::trouble_name(static_cast<sim::Trouble>(a));
     uint64_t pairs_with_a = 0;
     for (int b = 0; b < sim::kTroubles; ++b) pairs_with_a += pairs[std::min(a, b)][std::max(a, b)];
     std::printf("  %-16s in %" PRIu64 " pairs\n", name_a.c_str(), pairs_with_a);
     for (int b = a; b < sim::kTroubles; ++b) {
-      ++all;
+      ++total_pairs;
       if (pairs[a][b] > 0) {
-        ++met;
+        ++overlapping_pairs;
       } else {
-        never_met += "  " + name_a + " with " + sim::trouble_name(static_cast<sim::Trouble>(b)) + "\n";
+        missing_pairs += "  " + name_a + " with " + sim::trouble_name(static_cast<sim::Trouble>(b)) + "\n";
       }
     }
   }
-  std::printf("pairs met: %zu of %zu\n", met, all);
-  if (!never_met.empty()) std::printf("never met:\n%s", never_met.c_str());
+  std::printf("pairs met: %zu of %zu\n", overlapping_pairs, total_pairs);
+  if (!missing_pairs.empty()) std::printf("never met:\n%s", missing_pairs.c_str());
 }
 
-// Writes a failing scenario to the corpus, or prints it; reduced first where that is asked for.
+// Writes a failing scenario to the corpus folder, if there is one. With --shrink, the scenario is reduced
+// first, and printed if there is no corpus folder.
 void export_failure(const Scenario& scenario, const RunOptions& run_options, const RunResult& result,
                     const SimulateOptions& options) {
   Scenario exported = scenario;
@@ -186,10 +189,10 @@
 
 // ---- Runs
 
-// The results of many scenarios, added up.
+// Accumulates the results of many scenarios.
 class Totals {
  public:
-  // From any thread.
+  // Thread-safe.
   void add(uint64_t index, const Scenario& scenario, RunResult result) {
     const std::lock_guard lock(mutex_);
     sim::count_pairs(scenario, &fault_pairs_);
@@ -203,7 +206,7 @@
     sum_.left_unread += result.left_unread;
     sum_.ends += result.ends;
     sum_.counts += result.counts;
-    digest_ += result.digest * (2 * index + 1);  // doesn't depend on the order of the calls
+    digest_ += result.digest * (2 * index + 1);  // the sum doesn't depend on the order of the calls
     sum_.findings.insert(sum_.findings.end(), result.findings.begin(), result.findings.end());
     if (!result.findings.empty()) failures_.emplace(index, std::move(result));
   }
@@ -227,7 +230,7 @@
     }
   }
 
-  // By the scenario's index.
+  // The failed scenarios' results, by scenario index.
   const std::map<uint64_t, RunResult>& failures() const { return failures_; }
   const sim::Pairs& fault_pairs() const { return fault_pairs_; }
 
@@ -248,7 +251,7 @@
   return kFailed;
 }
 
-// Scenarios share no state, so that the results don't depend on the number of threads.
+// Scenarios share no state, so the results don't depend on the number of threads.
 void run_in_parallel(const ScenarioList& scenarios, const RunOptions& run_options, int jobs, Totals& totals) {
   std::atomic<uint64_t> next{0};
   const auto worker = [&] {
