--- a/src/arrowipc/array.cpp
+++ b/src/arrowipc/array.cpp
@@ -9,7 +9,8 @@
 namespace sablelink::arrowipc {
 namespace {
 
-static_assert(std::endian::native == std::endian::little, "buffers are used as they are");
+static_assert(std::endian::native == std::endian::little,
+              "values are copied to and from buffers without conversion");
 
 template <typename T>
 T load(const std::string& buffer, int64_t index) {
@@ -77,14 +78,14 @@
   for (const Field& child : field.children) children_.emplace_back(child);
 }
 
-void ArrayBuilder::want(bool fits, const char* what) const {
-  if (!fits)
+void ArrayBuilder::require(bool condition, const char* what) const {
+  if (!condition)
     throw FormatError(std::string("a ") + what + " can't go into a column of " +
                       std::string(type_name(array_.type)));
 }
 
-void ArrayBuilder::row(bool valid) {
-  if (!valid && array_.null_count == 0) {  // the bit map starts with the first null
+void ArrayBuilder::append_row(bool valid) {
+  if (!valid && array_.null_count == 0) {  // the bit map is created at the first null
     for (int64_t i = 0; i < array_.length; ++i) append_bit(array_.validity, i, true);
   }
   if (!valid) ++array_.null_count;
@@ -93,7 +94,7 @@
 }
 
 void ArrayBuilder::null() {
-  want(array_.type != Type::kDenseUnion, "null");
+  require(array_.type != Type::kDenseUnion, "null");
   switch (array_.type) {
     case Type::kBool:
       append_bit(array_.data, array_.length, false);
@@ -122,29 +123,29 @@
     default:
       store<int32_t>(array_.offsets, load<int32_t>(array_.offsets, array_.length));
   }
-  row(false);
+  append_row(false);
 }
 
 void ArrayBuilder::boolean(bool value) {
-  want(array_.type == Type::kBool, "bool");
+  require(array_.type == Type::kBool, "bool");
   append_bit(array_.data, array_.length, value);
-  row(true);
+  append_row(true);
 }
 
 void ArrayBuilder::integer(int64_t value) {
-  const auto within = [value](int64_t low, int64_t high) { return value >= low && value <= high; };
+  const auto in_range = [value](int64_t min, int64_t max) { return value >= min && value <= max; };
   switch (array_.type) {
     case Type::kInt32:
-      want(within(std::numeric_limits<int32_t>::min(), std::numeric_limits<int32_t>::max()),
-           "larger integer");
+      require(in_range(std::numeric_limits<int32_t>::min(), std::numeric_limits<int32_t>::max()),
+              "larger integer");
       store(array_.data, static_cast<int32_t>(value));
       break;
     case Type::kUint32:
-      want(within(0, std::numeric_limits<uint32_t>::max()), "negative or larger integer");
+      require(in_range(0, std::numeric_limits<uint32_t>::max()), "negative or larger integer");
       store(array_.data, static_cast<uint32_t>(value));
       break;
     case Type::kUint8:
-      want(within(0, std::numeric_limits<uint8_t>::max()), "negative or larger integer");
+      require(in_range(0, std::numeric_limits<uint8_t>::max()), "negative or larger integer");
       store(array_.data, static_cast<uint8_t>(value));
       break;
     case Type::kInt64:
@@ -152,39 +153,39 @@
       store(array_.data, value);
       break;
     default:
-      want(false, "integer");
+      require(false, "integer");
   }
-  row(true);
+  append_row(true);
 }
 
 void ArrayBuilder::number(double value) {
-  want(array_.type == Type::kDouble, "double");
+  require(array_.type == Type::kDouble, "double");
   store(array_.data, value);
-  row(true);
+  append_row(true);
 }
 
 void ArrayBuilder::bytes(std::string_view value) {
-  want(array_.type == Type::kUtf8 || array_.type == Type::kBinary, "string");
-  want(array_.data.size() + value.size() <= size_t{std::numeric_limits<int32_t>::max()},
-       "string past 2 GiB in all");
+  require(array_.type == Type::kUtf8 || array_.type == Type::kBinary, "string");
+  require(array_.data.size() + value.size() <= size_t{std::numeric_limits<int32_t>::max()},
+          "string past 2 GiB in all");
   array_.data.append(value);
   store(array_.offsets, static_cast<int32_t>(array_.data.size()));
-  row(true);
+  append_row(true);
 }
 
 void ArrayBuilder::end_list() {
-  want(array_.type == Type::kList || array_.type == Type::kMap, "list");
+  require(array_.type == Type::kList || array_.type == Type::kMap, "list");
   store(array_.offsets, static_cast<int32_t>(children_[0].length()));
-  row(true);
+  append_row(true);
 }
 
 void ArrayBuilder::end_struct() {
-  want(array_.type == Type::kStruct, "struct");
-  row(true);
+  require(array_.type == Type::kStruct, "struct");
+  append_row(true);
 }
 
 void ArrayBuilder::end_union(int child) {
-  want(array_.type == Type::kDenseUnion, "union");
+  require(array_.type == Type::kDenseUnion, "union");
   array_.data.push_back(static_cast<char>(child));
   store(array_.offsets, static_cast<int32_t>(children_.at(child).length() - 1));
   ++array_.length;
@@ -197,20 +198,20 @@
 
 namespace {
 
-std::string text_of(const Value& value, bool quoted) {
+std::string format_value(const Value& value, bool quote_strings) {
   if (std::holds_alternative<std::monostate>(value)) return "null";
   if (const auto* b = std::get_if<bool>(&value)) return *b ? "true" : "false";
   if (const auto* i = std::get_if<int64_t>(&value)) return std::to_string(*i);
   if (const auto* d = std::get_if<double>(&value)) return std::to_string(*d);
   const auto& s = std::get<std::string>(value);
-  return quoted ? "\"" + s + "\"" : s;
+  return quote_strings ? "\"" + s + "\"" : s;
 }
 
-std::string joined(const Array& items, const Field& field, int64_t begin, int64_t end) {
+std::string format_items(const Array& items, const Field& field, int64_t begin, int64_t end) {
   std::string text;
   for (int64_t i = begin; i < end; ++i) {
     if (i > begin) text += ", ";
-    text += text_of(value_at(items, field, i), true);
+    text += format_value(value_at(items, field, i), true);
   }
   return text;
 }
@@ -230,15 +231,15 @@
     case Type::kList:
     case Type::kMap:
       return "[" +
-             joined(array.children[0], field.children[0], load<int32_t>(array.offsets, row),
-                    load<int32_t>(array.offsets, row + 1)) +
+             format_items(array.children[0], field.children[0], load<int32_t>(array.offsets, row),
+                          load<int32_t>(array.offsets, row + 1)) +
              "]";
     case Type::kStruct: {
       std::string text = "{";
       for (size_t i = 0; i < array.children.size(); ++i) {
         if (i > 0) text += ", ";
         text += field.children[i].name + ": ";
-        text += text_of(value_at(array.children[i], field.children[i], row), true);
+        text += format_value(value_at(array.children[i], field.children[i], row), true);
       }
       return text + "}";
     }
--- a/src/arrowipc/array.h
+++ b/src/arrowipc/array.h
@@ -1,5 +1,5 @@
-// Columns and record batches in the Arrow columnar layout, and schemas that describe them. Source: the public
-// columnar format specification, versions V4 and V5.
+// Columns and record batches in the Arrow columnar layout, and the schemas that describe them, implemented
+// from the public columnar format specification, versions V4 and V5.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace sablelink::arrowipc {
 
-// Thrown for bytes that aren't what the format allows, and for types that aren't supported; names the place.
+// Thrown for bytes that violate the format and for unsupported types; the message names the field or column.
 struct FormatError : Error {
   using Error::Error;
 };
@@ -28,11 +28,11 @@
   kDouble,
   kUtf8,
   kBinary,
-  kTimestamp,   // int64 since 1970, in the field's unit
+  kTimestamp,   // int64 since the Unix epoch, in the field's unit
   kList,        // one child: the items
-  kStruct,      // its children
+  kStruct,      // the children are its fields
   kMap,         // one child: a struct of key and value
-  kDenseUnion,  // its children; type ids are their positions
+  kDenseUnion,  // the children are its alternatives; type ids are their positions
 };
 std::string_view type_name(Type type);
 
@@ -42,8 +42,8 @@
   std::string name;
   Type type = Type::kInt32;
   bool nullable = true;
-  TimeUnit unit = TimeUnit::kMicrosecond;  // timestamps alone
-  std::string timezone;                    // timestamps alone; empty: local time
+  TimeUnit unit = TimeUnit::kMicrosecond;  // of timestamps
+  std::string timezone;                    // of timestamps; empty: local time
   std::vector<Field> children;
   bool operator==(const Field&) const = default;
 };
@@ -53,21 +53,21 @@
   bool operator==(const Schema&) const = default;
 };
 
-// One column in the format's own layout: which buffers are filled depends on the type. Numbers are
-// little-endian; a bit map holds the lowest row in the lowest bit.
+// One column in the format's memory layout. The type determines which buffers are used. Numbers are
+// little-endian; bit maps store the lowest row in the least significant bit.
 struct Array {
   Type type = Type::kInt32;
   int64_t length = 0;
   int64_t null_count = 0;
-  std::string validity;  // a bit for each row, 1 where it has a value; empty: no nulls
-  std::string offsets;   // utf8, binary, list, map: length + 1 int32; dense union: length int32
+  std::string validity;  // one bit per row, 0 for a null; empty if there are no nulls
+  std::string offsets;   // int32: length + 1 of utf8, binary, list and map; length of dense union
   std::string data;      // values, bytes of strings, or type ids of a union
   std::vector<Array> children;
 
   bool is_null(int64_t row) const;
-  // Values of rows that aren't null. The type must match; rows are from 0 to length - 1.
+  // The following require a row between 0 and length - 1 that isn't null, and a column of the matching type.
   bool bool_at(int64_t row) const;
-  int64_t integer_at(int64_t row) const;  // any integer type and timestamps
+  int64_t integer_at(int64_t row) const;  // integer types and timestamps
   double double_at(int64_t row) const;
   std::string_view bytes_at(int64_t row) const;  // utf8 and binary
 };
@@ -77,37 +77,37 @@
   std::vector<Array> columns;
 };
 
-// Appends rows to a column. Calls that don't fit the type throw FormatError.
+// Appends rows to a column. Throws FormatError for values that don't fit the column's type.
 class ArrayBuilder {
  public:
   explicit ArrayBuilder(const Field& field);
 
   void null();
   void boolean(bool value);
-  void integer(int64_t value);  // throws where the type can't hold it
+  void integer(int64_t value);  // throws if it is out of the type's range
   void number(double value);
   void bytes(std::string_view value);
-  // Lists and maps: ends the row whose items have been appended to child(0) since the last end.
+  // Lists and maps: completes a row of the items appended to child(0) since the previous row.
   void end_list();
-  // Structs: ends the row whose parts have been appended to the children.
+  // Structs: completes a row of the values appended to the children.
   void end_struct();
-  // Dense unions: the row is what has just been appended to the child.
+  // Dense unions: completes a row of the value appended last to the given child.
   void end_union(int child);
   ArrayBuilder& child(size_t index) { return children_.at(index); }
   int64_t length() const { return array_.length; }
   Array finish();
 
  private:
-  void row(bool valid);
-  void want(bool fits, const char* what) const;
+  void append_row(bool valid);
+  void require(bool condition, const char* what) const;
 
   Array array_;
   std::vector<ArrayBuilder> children_;
 };
 
-// One value of a row, as text formats and parameters need it.
+// One value of a column, for text output and for statement parameters.
 using Value = std::variant<std::monostate, bool, int64_t, double, std::string>;
-// The value of a flat column's row; nested types are written out as text.
+// Returns the value at a row; values of nested types are formatted as text.
 Value value_at(const Array& array, const Field& field, int64_t row);
 
 }  // namespace sablelink::arrowipc
--- a/src/arrowipc/ipc.h
+++ b/src/arrowipc/ipc.h
@@ -1,8 +1,9 @@
-// Schemas and record batches to and from the messages of Arrow IPC: a flatbuffer (the header) and a body of
-// buffers. Flight carries the two apart. Source: the public columnar format specification.
+// Encodes and decodes schemas and record batches as Arrow IPC messages, according to the public columnar
+// format specification. A message consists of a FlatBuffers header and a body of buffers, which Flight sends
+// as separate fields.
 //
-// Decoding checks every length and offset against the bytes given before it is used, and copies what it
-// keeps; it never reads past them and never allocates more than a small multiple of their size.
+// Decoding copies the data. It checks every length and offset against the size of the input before use, so it
+// never reads out of bounds and never allocates more than a small multiple of the input's size.
 #pragma once
 
 #include <string>
@@ -19,19 +20,19 @@
 
 enum class MessageKind { kSchema, kBatch, kOther };
 
-// Throws FormatError where the header isn't a message of the format.
+// Throws FormatError if the header isn't a valid message.
 MessageKind message_kind(std::string_view header);
 
 Message encode_schema(const Schema& schema);
 Message encode_batch(const Schema& schema, const Batch& batch);
 
-// Throws FormatError on a wrong header and on types that aren't supported (dictionaries, decimals, ...).
+// Throws FormatError for an invalid header and for unsupported types (dictionaries, decimals, ...).
 Schema decode_schema(std::string_view header);
-// The batch must belong to the schema. Throws FormatError; compressed bodies aren't supported.
+// Throws FormatError for a batch that is invalid, compressed or not of the given schema.
 Batch decode_batch(const Schema& schema, std::string_view header, std::string_view body);
 
-// A schema as FlightInfo and prepared statements carry it: an encapsulated message, that is a marker, the
-// header's length, the header, and padding to 8 bytes.
+// An encapsulated message, which is the form of schemas in FlightInfo and prepared statements: a marker, the
+// header's length, the header padded to 8 bytes, and the body.
 std::string encapsulate(const Message& message);
 Schema decode_encapsulated_schema(std::string_view bytes);
 
--- a/src/sql/shape.cpp
+++ b/src/sql/shape.cpp
@@ -10,35 +10,36 @@
 namespace sablelink::sql {
 namespace {
 
-constexpr std::array<std::string_view, 4> kFiltering = {"where", "having", "qualify", "limit"};
+constexpr std::array<std::string_view, 4> kFilterClauses = {"where", "having", "qualify", "limit"};
 
-// Words that end a clause whose literals are folded, at its own depth. Words that belong to no clause of any
-// dialect known cost nothing here: less is folded.
-constexpr std::array<std::string_view, 27> kEnding = {
+// Words that end the folding of literals if they are at the clause's own nesting depth. Words that no known
+// dialect uses for a clause do no harm: they only leave more literals unfolded.
+constexpr std::array<std::string_view, 27> kClauseEndWords = {
     "select", "from",   "group",   "order",  "union",   "intersect", "except", "minus",       "values",
     "with",   "window", "for",     "into",   "option",  "settings",  "format", "returning",   "connect",
     "start",  "pivot",  "unpivot", "sample", "lateral", "model",     "extend", "tablesample", "aggregate"};
 
-template <typename Words>
-bool among(std::string_view word, const Words& words) {
+template <typename WordList>
+bool contains(std::string_view word, const WordList& words) {
   return std::find(words.begin(), words.end(), word) != words.end();
 }
 
-// White space and comments on which every reader agrees: "-- " to the line's end, /* */ without another
-// beginning inside and without a sign that makes its content count.
-bool plain_gap(std::string_view gap) {
+// Whether the text between two tokens is white space and comments in every SQL dialect: "-- " up to the end
+// of the line, or /* */ without a nested /* and without ! or M!, which make some engines execute the content.
+bool is_unambiguous_gap(std::string_view gap) {
   size_t i = 0;
   while (i < gap.size()) {
     if (gap[i] == '-') {
-      const bool spaced =
+      const bool followed_by_space =
           i + 2 >= gap.size() || gap[i + 2] == ' ' || gap[i + 2] == '\n' || gap[i + 2] == '\t';
-      if (!spaced) return false;
+      if (!followed_by_space) return false;
       i = std::min(gap.find('\n', i), gap.size());
     } else if (gap[i] == '/') {
       const size_t end = gap.find("*/", i + 2);
       if (end == std::string_view::npos) return false;
-      const std::string_view inside = gap.substr(i + 2, end - i - 2);
-      if (inside.starts_with('!') || inside.starts_with("M!") || inside.find("/*") != std::string_view::npos)
+      const std::string_view content = gap.substr(i + 2, end - i - 2);
+      if (content.starts_with('!') || content.starts_with("M!") ||
+          content.find("/*") != std::string_view::npos)
         return false;
       i = end + 2;
     } else {
@@ -48,83 +49,84 @@
   return true;
 }
 
-// A literal whose end every reader sees at the same place.
-bool plain_literal(const Token& t) {
+// Whether every SQL dialect finds the end of this literal at the same place.
+bool is_unambiguous_literal(const Token& t) {
   if (t.kind == TokenKind::kNumber || t.kind == TokenKind::kParameter) return true;
   return t.kind == TokenKind::kString && t.text.size() >= 2 && t.text.front() == '\'' &&
          t.text.back() == '\'' && t.text.find('\\') == std::string_view::npos;
 }
 
-class Shaper {
+class ShapeBuilder {
  public:
-  Shaper(std::string_view statement, bool fold) : statement_(statement), fold_(fold) {}
+  ShapeBuilder(std::string_view statement, bool fold_literals)
+      : statement_(statement), fold_literals_(fold_literals) {}
 
-  std::string run() {
+  std::string build() {
     size_t end = 0;
     for (const Token& t : tokenize(statement_)) {
-      gap(end, t.at);
-      token(t);
+      append_gap(end, t.at);
+      append_token(t);
       end = t.at + t.text.size();
     }
-    gap(end, statement_.size());
-    return std::move(out_);
+    append_gap(end, statement_.size());
+    return std::move(shape_);
   }
 
  private:
-  // One query block, between parentheses or at the top.
+  // A query block: the top level or the text between parentheses.
   struct Block {
-    bool named_from = false, folding = false;
+    bool has_from = false, folding = false;
   };
 
-  void gap(size_t from, size_t to) {
+  void append_gap(size_t from, size_t to) {
     const std::string_view text = statement_.substr(from, to - from);
-    if (!plain_gap(text)) put(text);
+    if (!is_unambiguous_gap(text)) append(text);
   }
 
-  void put(std::string_view text) {
-    if (!out_.empty()) out_ += ' ';
-    out_ += text;
+  void append(std::string_view text) {
+    if (!shape_.empty()) shape_ += ' ';
+    shape_ += text;
   }
 
-  void token(const Token& t) {
+  void append_token(const Token& t) {
     if (t.kind == TokenKind::kWord) {
       const std::string word = ascii_to_lower(t.text);
       Block& block = blocks_.back();
-      if (among(word, kFiltering) && block.named_from) block.folding = true;
-      if (among(word, kEnding)) block.folding = false;
-      if (word == "select") block.named_from = false;
-      if (word == "from") block.named_from = true;
+      if (contains(word, kFilterClauses) && block.has_from) block.folding = true;
+      if (contains(word, kClauseEndWords)) block.folding = false;
+      if (word == "select") block.has_from = false;
+      if (word == "from") block.has_from = true;
     } else if (t.kind == TokenKind::kSymbol) {
       if (t.text == "(")
-        // Within a folded clause whatever is nested is folded too: it can't reach the columns.
+        // Everything nested in a folded clause is folded, too, as it can't affect the result's columns.
         blocks_.push_back({false, false});
       else if (t.text == ")" && blocks_.size() > 1)
         blocks_.pop_back();
       else if (t.text == "|")
-        blocks_.back().folding = false;  // perhaps a pipe's next step
+        blocks_.back().folding = false;  // possibly |>, which starts the next step of a pipe query
       else if (t.text == ";")
         blocks_.assign(1, {});
     }
-    const bool folded = fold_ && plain_literal(t) &&
+    const bool folded = fold_literals_ && is_unambiguous_literal(t) &&
                         std::any_of(blocks_.begin(), blocks_.end(), [](const Block& b) { return b.folding; });
     if (!folded) {
-      put(t.text);
-    } else if (out_.ends_with(" ? ,")) {
-      out_.resize(out_.size() - 2);  // ?, ? is ?
+      append(t.text);
+    } else if (shape_.ends_with(" ? ,")) {
+      shape_.resize(shape_.size() - 2);  // a list of folded literals is written as one ?
     } else {
-      put("?");
+      append("?");
     }
   }
 
   const std::string_view statement_;
-  const bool fold_;
-  std::string out_;
+  const bool fold_literals_;
+  std::string shape_;
   std::vector<Block> blocks_{1};
 };
 
 }  // namespace
 
-std::string shape_of(std::string_view statement) { return Shaper(statement, true).run(); }
-std::string exact_shape_of(std::string_view statement) { return Shaper(statement, false).run(); }
+std::string shape_of(std::string_view statement) { return ShapeBuilder(statement, true).build(); }
+std::string exact_shape_of(std::string_view statement) { return ShapeBuilder(statement, false).build(); }
 
 }  // namespace sablelink::sql
--- a/src/sql/shape.h
+++ b/src/sql/shape.h
@@ -1,4 +1,4 @@
-// Keys of statements whose answers have the same columns.
+// Keys for statements whose results have the same columns.
 #pragma once
 
 #include <string>
@@ -6,15 +6,18 @@
 
 namespace sablelink::sql {
 
-// The statement without white space and plain comments. Literals and parameters that can't have a say in an
-// answer's columns are written as "?", lists of them as one: those behind WHERE, HAVING, QUALIFY and LIMIT of
-// a SELECT that has named its FROM, up to the clause's end. Everything else stays as it is, letter by letter:
-// another number in a select list may be another type. Where readers may disagree on what is a comment or a
-// string (nested comments, "--" without a space, /*! */, backslashes in strings), nothing is left out or
-// folded there, so that two statements with one shape are one statement to every engine.
+// Returns the statement without comments and with a single space between tokens. Literals and parameters that
+// can't affect the columns of the result are folded: each, or a list of them, is written as one "?". These
+// are the ones after WHERE, HAVING, QUALIFY or LIMIT, up to the end of that clause, in a SELECT whose FROM
+// precedes it. All other text is kept byte for byte, since another number in a select list may have another
+// type.
+//
+// SQL dialects disagree on nested comments, "--" without a space, comments of the form /*! */ and backslashes
+// in strings. Where these occur, nothing is removed or folded, so that statements of equal shape differ for
+// every engine only in white space, comments and folded literals.
 std::string shape_of(std::string_view statement);
 
-// The same with nothing folded: what a prepared statement's parameters hang on.
+// Like shape_of, but without folding. The types of a prepared statement's parameters are cached by this key.
 std::string exact_shape_of(std::string_view statement);
 
 }  // namespace sablelink::sql
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -10,32 +10,34 @@
 
 bool is_space(char c) { return c == ' ' || (c >= '\t' && c <= '\r'); }
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
-// Bytes past ASCII count as letters: they belong to names in UTF-8.
+// Non-ASCII bytes count as letters, since they are part of names in UTF-8.
 bool is_letter(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' ||
          (static_cast<unsigned char>(c) >= 0x80);
 }
-bool is_word(char c) { return is_letter(c) || is_digit(c) || c == '$'; }
+bool is_word_char(char c) { return is_letter(c) || is_digit(c) || c == '$'; }
 
 class Lexer {
  public:
   explicit Lexer(std::string_view text) : text_(text) {}
 
   std::vector<Token> run() {
-    while (skip_blank()) next();
+    while (skip_whitespace_and_comments()) lex_token();
     return std::move(tokens_);
   }
 
  private:
-  char peek(size_t ahead = 0) const { return at_ + ahead < text_.size() ? text_[at_ + ahead] : '\0'; }
+  char peek(size_t ahead = 0) const {
+    return position_ + ahead < text_.size() ? text_[position_ + ahead] : '\0';
+  }
 
-  // Past white space and comments; false at the end.
-  bool skip_blank() {
-    while (at_ < text_.size()) {
+  // Skips white space and comments. Returns false at the end of the text.
+  bool skip_whitespace_and_comments() {
+    while (position_ < text_.size()) {
       if (is_space(peek())) {
-        ++at_;
+        ++position_;
       } else if (peek() == '-' && peek(1) == '-') {
-        while (at_ < text_.size() && peek() != '\n') ++at_;
+        while (position_ < text_.size() && peek() != '\n') ++position_;
       } else if (peek() == '/' && peek(1) == '*') {
         skip_comment();
       } else {
@@ -50,98 +52,102 @@
     do {
       if (peek() == '/' && peek(1) == '*') {
         ++depth;
-        at_ += 2;
+        position_ += 2;
       } else if (peek() == '*' && peek(1) == '/') {
         --depth;
-        at_ += 2;
+        position_ += 2;
       } else {
-        ++at_;
+        ++position_;
       }
-    } while (depth > 0 && at_ < text_.size());
-    at_ = std::min(at_, text_.size());
+    } while (depth > 0 && position_ < text_.size());
+    position_ = std::min(position_, text_.size());
   }
 
-  void next() {
-    const size_t from = at_;
+  void lex_token() {
+    const size_t from = position_;
     const char c = peek();
     if (c == '\'') {
-      quoted('\'', false);
-      add(TokenKind::kString, from);
+      lex_quoted('\'', false);
+      add_token(TokenKind::kString, from);
     } else if ((c == 'e' || c == 'E') && peek(1) == '\'') {
-      ++at_;
-      quoted('\'', true);
-      add(TokenKind::kString, from);
+      ++position_;
+      lex_quoted('\'', true);
+      add_token(TokenKind::kString, from);
     } else if (c == '"' || c == '`') {
-      quoted(c, false);
-      add(TokenKind::kQuotedName, from);
-    } else if (c == '$' && dollar_body()) {
-      add(TokenKind::kString, from);
+      lex_quoted(c, false);
+      add_token(TokenKind::kQuotedName, from);
+    } else if (c == '$' && lex_dollar_quoted()) {
+      add_token(TokenKind::kString, from);
     } else if (is_digit(c) || (c == '.' && is_digit(peek(1)))) {
-      number();
-      add(TokenKind::kNumber, from);
+      lex_number();
+      add_token(TokenKind::kNumber, from);
     } else if (is_letter(c)) {
-      while (is_word(peek()) && at_ < text_.size()) ++at_;
-      add(TokenKind::kWord, from);
+      while (is_word_char(peek()) && position_ < text_.size()) ++position_;
+      add_token(TokenKind::kWord, from);
     } else if (c == '?') {
-      ++at_;
-      add(TokenKind::kParameter, from);
+      ++position_;
+      add_token(TokenKind::kParameter, from);
     } else {
-      ++at_;
-      add(TokenKind::kSymbol, from);
+      ++position_;
+      add_token(TokenKind::kSymbol, from);
     }
   }
 
-  // A quote stands for itself when doubled, or after a backslash where those count.
-  void quoted(char quote, bool backslashes) {
-    ++at_;
-    while (at_ < text_.size()) {
+  // Skips a quoted text. A doubled quote doesn't end it, nor does one after a backslash if these are escapes.
+  void lex_quoted(char quote, bool backslash_escapes) {
+    ++position_;
+    while (position_ < text_.size()) {
       const char c = peek();
-      const bool escaped = backslashes && c == '\\';
+      const bool escaped = backslash_escapes && c == '\\';
       const bool doubled = c == quote && peek(1) == quote;
       if (escaped || doubled) {
-        at_ += 2;
+        position_ += 2;
       } else if (c != quote) {
-        ++at_;
+        ++position_;
       } else {
-        ++at_;
+        ++position_;
         return;
       }
     }
-    at_ = std::min(at_, text_.size());
+    position_ = std::min(position_, text_.size());
   }
 
-  // $tag$ ... $tag$
-  bool dollar_body() {
-    size_t end = at_ + 1;
-    while (end < text_.size() && (is_letter(text_[end]) || (end > at_ + 1 && is_digit(text_[end])))) ++end;
+  // Skips a literal of the form $tag$ ... $tag$. Returns false if there is none at the current position.
+  bool lex_dollar_quoted() {
+    size_t end = position_ + 1;
+    while (end < text_.size() && (is_letter(text_[end]) || (end > position_ + 1 && is_digit(text_[end]))))
+      ++end;
     if (end >= text_.size() || text_[end] != '$') return false;
-    const std::string_view tag = text_.substr(at_, end - at_ + 1);
+    const std::string_view tag = text_.substr(position_, end - position_ + 1);
     const size_t close = text_.find(tag, end + 1);
-    at_ = close == std::string_view::npos ? text_.size() : close + tag.size();
+    position_ = close == std::string_view::npos ? text_.size() : close + tag.size();
     return true;
   }
 
-  void number() {
-    while (at_ < text_.size()) {
+  void lex_number() {
+    while (position_ < text_.size()) {
       const char c = peek();
-      const bool sign = (c == '+' || c == '-') && (text_[at_ - 1] == 'e' || text_[at_ - 1] == 'E');
-      if (!is_digit(c) && !is_letter(c) && c != '.' && !sign) break;
-      ++at_;
+      const bool is_exponent_sign =
+          (c == '+' || c == '-') && (text_[position_ - 1] == 'e' || text_[position_ - 1] == 'E');
+      if (!is_digit(c) && !is_letter(c) && c != '.' && !is_exponent_sign) break;
+      ++position_;
     }
   }
 
-  void add(TokenKind kind, size_t from) { tokens_.push_back({kind, text_.substr(from, at_ - from), from}); }
+  void add_token(TokenKind kind, size_t from) {
+    tokens_.push_back({kind, text_.substr(from, position_ - from), from});
+  }
 
   std::string_view text_;
-  size_t at_ = 0;
+  size_t position_ = 0;
   std::vector<Token> tokens_;
 };
 
-struct Lead {
+struct LeadingWord {
   std::string_view word;
   StatementKind kind;
 };
-constexpr std::array<Lead, 19> kLeads = {{
+constexpr std::array<LeadingWord, 19> kLeadingWords = {{
     {"select", StatementKind::kQuery},    {"with", StatementKind::kQuery},
     {"values", StatementKind::kQuery},    {"table", StatementKind::kQuery},
     {"from", StatementKind::kQuery},      {"show", StatementKind::kQuery},
@@ -154,19 +160,20 @@
     {"truncate", StatementKind::kDelete},
 }};
 
-StatementKind lead_kind(const std::string& word) {
-  for (const Lead& lead : kLeads)
+StatementKind kind_of_leading_word(const std::string& word) {
+  for (const LeadingWord& lead : kLeadingWords)
     if (lead.word == word) return lead.kind;
   return StatementKind::kOther;
 }
 
-// Words after which a table is named, and those that may stand between.
-bool announces_table(const std::string& w) {
-  return w == "from" || w == "join" || w == "into" || w == "update" || w == "table" || w == "using" ||
-         w == "copy";
+// Words that precede the name of a table, and words that may follow them before the name.
+bool precedes_table_name(const std::string& word) {
+  return word == "from" || word == "join" || word == "into" || word == "update" || word == "table" ||
+         word == "using" || word == "copy";
 }
-bool may_stand_between(const std::string& w) {
-  return w == "only" || w == "lateral" || w == "if" || w == "not" || w == "exists" || w == "table";
+bool may_follow_before_name(const std::string& word) {
+  return word == "only" || word == "lateral" || word == "if" || word == "not" || word == "exists" ||
+         word == "table";
 }
 
 }  // namespace
@@ -197,7 +204,8 @@
 
 namespace {
 
-// Reads a table's name with its dots at tokens[i] and moves i behind it; empty where none stands there.
+// Reads the table name, qualified or not, that starts at tokens[i] and advances i past it. Returns an empty
+// name if there is none.
 std::string read_name(const std::vector<Token>& tokens, size_t& i) {
   std::string name;
   while (i < tokens.size()) {
@@ -221,40 +229,40 @@
 StatementInfo inspect(std::string_view statement) {
   const std::vector<Token> tokens = tokenize(statement);
   StatementInfo info;
-  std::vector<std::string> local;  // names that WITH defines: no tables
-  const auto add = [&](std::string name) {
-    if (name.empty() || std::find(local.begin(), local.end(), name) != local.end() ||
+  std::vector<std::string> cte_names;  // common table expressions, which aren't tables
+  const auto add_table = [&](std::string name) {
+    if (name.empty() || std::find(cte_names.begin(), cte_names.end(), name) != cte_names.end() ||
         std::find(info.tables.begin(), info.tables.end(), name) != info.tables.end())
       return;
     info.tables.push_back(std::move(name));
   };
-  bool led = false;
+  bool has_kind = false;
   for (size_t i = 0; i < tokens.size();) {
     if (tokens[i].kind != TokenKind::kWord) {
       ++i;
       continue;
     }
     const std::string word = ascii_to_lower(tokens[i].text);
-    const StatementKind lead = lead_kind(word);
-    if (!led && lead != StatementKind::kOther) {
-      info.kind = lead;
-      led = true;
-    } else if (led && info.kind == StatementKind::kQuery && i > 0 && tokens[i - 1].text == ")" &&
-               lead != StatementKind::kOther && lead != StatementKind::kQuery) {
-      info.kind = lead;  // WITH ... AS (...) INSERT ...
+    const StatementKind word_kind = kind_of_leading_word(word);
+    if (!has_kind && word_kind != StatementKind::kOther) {
+      info.kind = word_kind;
+      has_kind = true;
+    } else if (has_kind && info.kind == StatementKind::kQuery && i > 0 && tokens[i - 1].text == ")" &&
+               word_kind != StatementKind::kOther && word_kind != StatementKind::kQuery) {
+      info.kind = word_kind;  // WITH ... AS (...) INSERT ...
     }
-    // A name before AS ( is local.
+    // A name before AS ( is that of a common table expression.
     if (i + 2 < tokens.size() && tokens[i + 1].kind == TokenKind::kWord &&
         ascii_to_lower(tokens[i + 1].text) == "as" && tokens[i + 2].text == "(")
-      local.push_back(word);
+      cte_names.push_back(word);
     ++i;
-    if (!announces_table(word)) continue;
+    if (!precedes_table_name(word)) continue;
     for (;;) {
       while (i < tokens.size() && tokens[i].kind == TokenKind::kWord &&
-             may_stand_between(ascii_to_lower(tokens[i].text)))
+             may_follow_before_name(ascii_to_lower(tokens[i].text)))
         ++i;
-      add(read_name(tokens, i));
-      // FROM a, b and FROM a AS x, b
+      add_table(read_name(tokens, i));
+      // FROM may list several tables: FROM a, b or FROM a AS x, b.
       if (word != "from") break;
       size_t j = i;
       if (j < tokens.size() && tokens[j].kind == TokenKind::kWord && ascii_to_lower(tokens[j].text) == "as")
@@ -277,32 +285,32 @@
 }
 
 std::string substitute(std::string_view statement, const std::vector<std::string>& literals) {
-  std::string out;
-  size_t done = 0;
-  size_t used = 0;
+  std::string result;
+  size_t copied_bytes = 0;
+  size_t next_literal = 0;
   for (const Token& t : tokenize(statement)) {
     if (t.kind != TokenKind::kParameter) continue;
-    if (used == literals.size())
-      throw ParameterCountError("the statement has more parameters than the " + std::to_string(used) +
+    if (next_literal == literals.size())
+      throw ParameterCountError("the statement has more parameters than the " + std::to_string(next_literal) +
                                 " bound");
-    out.append(statement.substr(done, t.at - done));
-    out.append(literals[used++]);
-    done = t.at + 1;
+    result.append(statement.substr(copied_bytes, t.at - copied_bytes));
+    result.append(literals[next_literal++]);
+    copied_bytes = t.at + 1;
   }
-  if (used != literals.size())
-    throw ParameterCountError("the statement has " + std::to_string(used) + " parameters, but " +
+  if (next_literal != literals.size())
+    throw ParameterCountError("the statement has " + std::to_string(next_literal) + " parameters, but " +
                               std::to_string(literals.size()) + " are bound");
-  out.append(statement.substr(done));
-  return out;
+  result.append(statement.substr(copied_bytes));
+  return result;
 }
 
 std::string quote(std::string_view text) {
-  std::string out = "'";
+  std::string result = "'";
   for (const char c : text) {
-    if (c == '\'') out += c;
-    out += c;
+    if (c == '\'') result += c;
+    result += c;
   }
-  return out + "'";
+  return result + "'";
 }
 
 }  // namespace sablelink::sql
--- a/src/sql/statement.h
+++ b/src/sql/statement.h
@@ -1,5 +1,5 @@
-// What a statement's words alone tell: its kind, the tables that it names, where its parameters stand. A
-// statement that isn't understood is still one: its kind is then kOther, and it is routed like any other.
+// Lexical analysis of SQL statements: kind, tables, and positions of parameters. There is no grammar and no
+// syntax error: an unrecognised statement has the kind kOther and is routed like any other.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,14 @@
 
 struct Token {
   TokenKind kind = TokenKind::kSymbol;
-  std::string_view text;  // as it stands in the statement, quotes included
-  size_t at = 0;          // its first byte's position
+  std::string_view text;  // the statement's own text, including quotes
+  size_t at = 0;          // offset of its first byte in the statement
 };
 
-// Words, names, literals and signs; comments and white space are left out. Understands 'it''s', E'\n',
-// "a ""name""", `name`, [name] after a dot or FROM-like word is not told from a subscript and read as signs,
-// $tag$ bodies, -- and nested /* */ comments. A quote or comment that never ends reaches to the end.
+// Splits a statement into words, names, literals and symbols; comments and white space are skipped.
+// Recognises 'it''s', E'\n', "a ""name""", `name`, $tag$ bodies, -- comments and nested /* */ comments.
+// [name] can't be distinguished from a subscript, so its brackets are symbols. An unterminated quote or
+// comment extends to the end of the statement.
 std::vector<Token> tokenize(std::string_view statement);
 
 struct StatementInfo {
@@ -34,17 +35,17 @@
 };
 StatementInfo inspect(std::string_view statement);
 
-/// A statement has more or fewer placeholders than there are literals for them.
+/// The number of placeholders in a statement differs from the number of literals bound to them.
 struct ParameterCountError : Error {
   using Error::Error;
 };
 
-// The statement with its ? placeholders replaced by the literals, in order. Throws ParameterCountError where
-// their numbers differ.
+// Returns the statement with its ? placeholders replaced by the literals, in order. Throws
+// ParameterCountError if their numbers differ.
 std::string substitute(std::string_view statement, const std::vector<std::string>& literals);
 size_t count_parameters(std::string_view statement);
 
-// A text as SQL literal.
+// Returns the text as an SQL string literal.
 std::string quote(std::string_view text);
 
 }  // namespace sablelink::sql
--- a/src/sql/table_group.cpp
+++ b/src/sql/table_group.cpp
@@ -7,15 +7,15 @@
 namespace sablelink::sql {
 namespace {
 
-// Of "schema.table" or "catalogue.schema.table".
+// Returns the group of a table named "schema.table" or "catalogue.schema.table", or -1.
 int64_t group_of(std::string_view table) {
   const size_t dot = table.rfind('.');
   if (dot == std::string_view::npos) return -1;
   std::string_view schema = table.substr(0, dot);
   schema = schema.substr(schema.rfind('.') + 1);
-  const size_t line = schema.rfind('_');
-  if (line == std::string_view::npos || line == 0) return -1;
-  const std::string_view digits = schema.substr(line + 1);
+  const size_t underscore = schema.rfind('_');
+  if (underscore == std::string_view::npos || underscore == 0) return -1;
+  const std::string_view digits = schema.substr(underscore + 1);
   if (digits.empty() || digits.size() > 9) return -1;
   int64_t group = 0;
   for (const char c : digits) {
--- a/src/sql/table_group.h
+++ b/src/sql/table_group.h
@@ -1,4 +1,4 @@
-// The group of tables that a statement reads or writes, by the platform's way of naming schemas.
+// The table group that a statement reads or writes, derived from the platform's names for schemas.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +6,9 @@
 
 namespace sablelink::sql {
 
-// The number after the last underscore in the name of the statement's schema (17 in sales_17.orders), -1
-// where there is none. Strings, comments and the schema staging don't count.
+// Returns the number after the last underscore in the schema of the statement's first table that has one (17
+// for sales_17.orders), or -1 if no table has one. Tables of the schema staging have none; strings and
+// comments are ignored.
 int64_t table_group(std::string_view statement);
 
 }  // namespace sablelink::sql
