--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -1,10 +1,13 @@
-// What a gateway adds: the same client against a stand-in node directly and through the gateway, in one run,
-// each in a process of its own on loopback. Prints figures and ratios; see docs/benchmarks.md.
+// Measures the overhead of a gateway: one client queries a stand-in node directly and through a gateway in
+// the same run. Node and gateway are separate processes on loopback. Prints figures and ratios; see
+// docs/benchmarks.md.
 //
 //   gateway_bench PROGRAM [--seconds S] [--rate R] [--width W] [--columns] [--large]
 //
-// --columns: tickets whose columns are known, planned, or left empty. --large: 200 MB to a reader of 1 MB a
-// second while lookups pass beside it; takes some four minutes.
+// --columns: the time to issue a ticket if its columns are cached, obtained by a planning call, or left
+// empty.
+// --large: a result of 200 MB to a client that reads 1 MB/s, with concurrent lookups; takes about four
+// minutes.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -35,144 +38,148 @@
 
 constexpr const char* kStatement = "SELECT * FROM gallery /*+ work=1us rows=5 */";
 
-struct Figures {
+struct Measurement {
   double per_second = 0, p50_us = 0, p99_us = 0;
-  uint64_t served = 0, other = 0;
+  uint64_t served = 0, not_served = 0;
 };
 
-Figures figures(std::vector<TimeUs> times, uint64_t other, TimeUs span) {
-  Figures f;
-  f.served = times.size();
-  f.other = other;
-  if (times.empty()) return f;
-  std::sort(times.begin(), times.end());
-  f.per_second = static_cast<double>(times.size()) * 1e6 / static_cast<double>(span);
-  f.p50_us = static_cast<double>(times[times.size() / 2]);
-  f.p99_us = static_cast<double>(times[times.size() * 99 / 100]);
+Measurement summarize(std::vector<TimeUs> latencies, uint64_t not_served, TimeUs duration) {
+  Measurement f;
+  f.served = latencies.size();
+  f.not_served = not_served;
+  if (latencies.empty()) return f;
+  std::sort(latencies.begin(), latencies.end());
+  f.per_second = static_cast<double>(latencies.size()) * 1e6 / static_cast<double>(duration);
+  f.p50_us = static_cast<double>(latencies[latencies.size() / 2]);
+  f.p99_us = static_cast<double>(latencies[latencies.size() * 99 / 100]);
   return f;
 }
 
-class Load {
+class LoadGenerator {
  public:
-  Load(const service::System& system, const std::string& endpoint, int connections)
+  LoadGenerator(const service::System& system, const std::string& endpoint, int connections)
       : loop_(system.wall, system.steady), channels_({}, loop_) {
     for (int i = 0; i < connections; ++i)
       clients_.push_back(std::make_unique<Client>(channels_.open(endpoint), loop_));
   }
-  ~Load() { clients_.clear(); }
+  ~LoadGenerator() { clients_.clear(); }
 
-  // Connects and makes the other side ready; nothing of it is counted.
-  Load& warmed() {
+  // Opens the connections and warms up the server; the results are discarded.
+  LoadGenerator& warmed_up() {
     closed_loop(16, 300'000);
-    times_.clear();
-    other_ = 0;
+    latencies_.clear();
+    not_served_ = 0;
     return *this;
   }
 
-  // Queries come at their times, whatever became of the others. Each is timed from when this thread sent it:
-  // it sleeps some 60 us too long, which is no server's doing, and never waits for one.
-  Figures open_loop(double rate, TimeUs span) {
+  // Sends queries with exponentially distributed gaps, independently of responses. The latency of a query
+  // starts when this thread posts it, not at its planned time: sleep_for() overshoots by about 60 us, which
+  // isn't the server's latency.
+  Measurement open_loop(double rate, TimeUs duration) {
     std::mt19937_64 random(3);
     std::exponential_distribution<double> gap(rate / 1e6);
     double at = 0;
     const TimeUs begin = loop_.now();
-    while (at < static_cast<double>(span)) {
+    while (at < static_cast<double>(duration)) {
       at += gap(random);
-      const TimeUs left = begin + static_cast<TimeUs>(at) - loop_.now();
-      if (left > 0) std::this_thread::sleep_for(std::chrono::microseconds(left));
-      ++out_;
-      loop_.post([this, from = loop_.now()] { asio::co_spawn(loop_.executor(), one(from), asio::detached); });
+      const TimeUs wait_us = begin + static_cast<TimeUs>(at) - loop_.now();
+      if (wait_us > 0) std::this_thread::sleep_for(std::chrono::microseconds(wait_us));
+      ++in_flight_;
+      loop_.post([this, sent_at = loop_.now()] {
+        asio::co_spawn(loop_.executor(), run_one(sent_at), asio::detached);
+      });
     }
-    while (out_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    return figures(std::exchange(times_, {}), other_, loop_.now() - begin);
+    while (in_flight_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    return summarize(std::exchange(latencies_, {}), not_served_, loop_.now() - begin);
   }
 
-  // So many queries are out at all times.
-  Figures closed_loop(int width, TimeUs span) {
+  // Keeps `width` queries in flight at all times.
+  Measurement closed_loop(int width, TimeUs duration) {
     const TimeUs begin = loop_.now();
-    until_ = begin + span;
-    out_ = width;
+    deadline_ = begin + duration;
+    in_flight_ = width;
     loop_.post([this, width] {
-      for (int i = 0; i < width; ++i) asio::co_spawn(loop_.executor(), many(), asio::detached);
+      for (int i = 0; i < width; ++i) asio::co_spawn(loop_.executor(), run_closed_loop(), asio::detached);
     });
-    while (out_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    return figures(std::exchange(times_, {}), other_, loop_.now() - begin);
+    while (in_flight_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    return summarize(std::exchange(latencies_, {}), not_served_, loop_.now() - begin);
   }
 
-  // Tickets alone, one after the other; statement(i) tells which.
-  Figures tickets(int count, std::function<std::string(int)> statement) {
+  // Requests tickets one after the other, the i-th for statement(i), without fetching results.
+  Measurement measure_tickets(int count, std::function<std::string(int)> statement) {
     const TimeUs begin = loop_.now();
-    out_ = 1;
+    in_flight_ = 1;
     loop_.post([this, count, statement = std::move(statement)] {
-      asio::co_spawn(loop_.executor(), asking(count, statement), asio::detached);
+      asio::co_spawn(loop_.executor(), request_tickets(count, statement), asio::detached);
     });
-    while (out_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    return figures(std::exchange(times_, {}), other_, loop_.now() - begin);
+    while (in_flight_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    return summarize(std::exchange(latencies_, {}), not_served_, loop_.now() - begin);
   }
 
-  // One answer, read at a pace; bytes of rows that have come so far, and whether it is over.
-  struct Reading {
+  // Progress of a result that is read at a limited rate.
+  struct ReadProgress {
     std::atomic<int64_t> rows{0};
-    std::atomic<bool> over{false}, served{false};
+    std::atomic<bool> finished{false}, served{false};
   };
-  void read(std::string statement, TimeUs every, std::shared_ptr<Reading> out) {
-    loop_.post([this, statement = std::move(statement), every, out = std::move(out)] {
-      asio::co_spawn(loop_.executor(), reading(statement, every, out), asio::detached);
+  void start_read(std::string statement, TimeUs interval, std::shared_ptr<ReadProgress> out) {
+    loop_.post([this, statement = std::move(statement), interval, out = std::move(out)] {
+      asio::co_spawn(loop_.executor(), read_slowly(statement, interval, out), asio::detached);
     });
   }
 
-  // Sends queries that stay open.
-  void hold(int count, const std::string& statement) {
+  // Sends queries that stay in flight.
+  void send_hanging(int count, const std::string& statement) {
     loop_.post([this, count, statement] {
-      for (int i = 0; i < count; ++i) asio::co_spawn(loop_.executor(), held(statement), asio::detached);
+      for (int i = 0; i < count; ++i)
+        asio::co_spawn(loop_.executor(), run_hanging(statement), asio::detached);
     });
   }
 
  private:
-  rpc::Awaitable<void> one(TimeUs from) {
-    co_await query(from);
-    --out_;
+  rpc::Awaitable<void> run_one(TimeUs sent_at) {
+    co_await query(sent_at);
+    --in_flight_;
   }
-  rpc::Awaitable<void> many() {
-    while (loop_.now() < until_) co_await query(loop_.now());
-    --out_;
+  rpc::Awaitable<void> run_closed_loop() {
+    while (loop_.now() < deadline_) co_await query(loop_.now());
+    --in_flight_;
   }
-  rpc::Awaitable<void> query(TimeUs from) {
+  rpc::Awaitable<void> query(TimeUs sent_at) {
     flightsql::ClientOptions options;
     options.timeout_us = 20'000'000;
     std::string sql = kStatement;
-    Client& to = *clients_[next_++ % clients_.size()];
-    const flightsql::QueryResult r = co_await to.query(std::move(sql), std::move(options));
+    Client& client = *clients_[next_++ % clients_.size()];
+    const flightsql::QueryResult r = co_await client.query(std::move(sql), std::move(options));
     if (r.verdict == dispatch::RequestStatus::kServed)
-      times_.push_back(loop_.now() - from);
+      latencies_.push_back(loop_.now() - sent_at);
     else
-      ++other_;
+      ++not_served_;
   }
-  rpc::Awaitable<void> asking(int count, std::function<std::string(int)> statement) {
+  rpc::Awaitable<void> request_tickets(int count, std::function<std::string(int)> statement) {
     for (int i = 0; i < count; ++i) {
       flightsql::ClientOptions options;
       options.timeout_us = 20'000'000;
       std::string sql = statement(i);
-      const TimeUs from = loop_.now();
+      const TimeUs sent_at = loop_.now();
       const Client::Ticket ticket = co_await clients_[0]->ask(std::move(sql), std::move(options));
       if (ticket.status.ok())
-        times_.push_back(loop_.now() - from);
+        latencies_.push_back(loop_.now() - sent_at);
       else
-        ++other_;
+        ++not_served_;
     }
-    --out_;
+    --in_flight_;
   }
-  rpc::Awaitable<void> reading(std::string sql, TimeUs every, std::shared_ptr<Reading> out) {
+  rpc::Awaitable<void> read_slowly(std::string sql, TimeUs interval, std::shared_ptr<ReadProgress> out) {
     flightsql::ClientOptions options;
     options.timeout_us = 1'000'000'000;
-    options.read_every_us = every;
+    options.read_every_us = interval;
     const flightsql::QueryResult r =
         co_await clients_[0]->query(std::move(sql), std::move(options),
                                     [out](const auto&, const auto& batch) { out->rows += batch.rows; });
     out->served = r.verdict == dispatch::RequestStatus::kServed;
-    out->over = true;
+    out->finished = true;
   }
-  rpc::Awaitable<void> held(std::string sql) {
+  rpc::Awaitable<void> run_hanging(std::string sql) {
     flightsql::ClientOptions options;
     options.timeout_us = 120'000'000;
     const flightsql::QueryResult r =
@@ -183,14 +190,14 @@
   rpc::GrpcLoop loop_;
   rpc::GrpcChannelFactory channels_;
   std::vector<std::unique_ptr<Client>> clients_;
-  std::vector<TimeUs> times_;
-  std::atomic<int> out_{0};
-  uint64_t other_ = 0;
+  std::vector<TimeUs> latencies_;
+  std::atomic<int> in_flight_{0};
+  uint64_t not_served_ = 0;
   size_t next_ = 0;
-  TimeUs until_ = 0;
+  TimeUs deadline_ = 0;
 };
 
-// A process's resident memory in KiB.
+// Returns a process's resident memory in KiB.
 long resident_kib(pid_t pid) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string text; std::getline(status, text);)
@@ -198,7 +205,7 @@
   return 0;
 }
 
-// What a process has used of its cores, in microseconds.
+// Returns the CPU time that a process has used, in microseconds.
 double cpu_us(pid_t pid) {
   std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), {});
@@ -211,47 +218,53 @@
   return (user + system) * 1e6 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-void print(const char* name, const Figures& f) {
+void print(const char* name, const Measurement& f) {
   std::printf("%-28s %9.0f /s   p50 %8.0f us   p99 %8.0f us   served %llu, other %llu\n", name, f.per_second,
               f.p50_us, f.p99_us, static_cast<unsigned long long>(f.served),
-              static_cast<unsigned long long>(f.other));
+              static_cast<unsigned long long>(f.not_served));
   std::fflush(stdout);
 }
 
-void measure_columns(const service::System& system, const std::string& planning, const std::string& plain) {
+void measure_columns(const service::System& system, const std::string& planning,
+                     const std::string& without_planning) {
   constexpr int kTickets = 2'000;
-  const auto known = [](int i) { return "SELECT id FROM gallery WHERE id = " + std::to_string(i); };
-  const auto fresh = [](int i) {
+  const auto same_shape = [](int i) { return "SELECT id FROM gallery WHERE id = " + std::to_string(i); };
+  const auto new_shape = [](int i) {
     return "SELECT id, " + std::to_string(i) + " FROM gallery /*+ plan=1us */";
   };
   std::printf("tickets, one after the other:\n");
-  Load(system, plain, 1).warmed().tickets(kTickets, known);  // no schema is known, as nothing has run
-  print("  nothing known, no planning", Load(system, plain, 1).warmed().tickets(kTickets, known));
-  Load(system, planning, 1).warmed().tickets(10, known);
-  print("  columns known", Load(system, planning, 1).warmed().tickets(kTickets, known));
-  print("  each planned", Load(system, planning, 1).warmed().tickets(kTickets, fresh));
+  // Warms up. No statement of this shape has run, so its result columns aren't cached.
+  LoadGenerator(system, without_planning, 1).warmed_up().measure_tickets(kTickets, same_shape);
+  print("  nothing known, no planning",
+        LoadGenerator(system, without_planning, 1).warmed_up().measure_tickets(kTickets, same_shape));
+  LoadGenerator(system, planning, 1).warmed_up().measure_tickets(10, same_shape);
+  print("  columns known",
+        LoadGenerator(system, planning, 1).warmed_up().measure_tickets(kTickets, same_shape));
+  print("  each planned",
+        LoadGenerator(system, planning, 1).warmed_up().measure_tickets(kTickets, new_shape));
 }
 
-// Reads 200 MB at 1 MB a second, in messages of 64 KiB.
-void measure_large(const service::System& system, const Process& gateway, const std::string& to) {
-  const Figures alone = Load(system, to, 2).warmed().open_loop(50, 20'000'000);
+// Reads 200 MB at 1 MB/s, in messages of 64 KiB.
+void measure_large(const service::System& system, const Process& gateway, const std::string& endpoint) {
+  const Measurement alone = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
   const long before = resident_kib(gateway.pid());
-  Load reader(system, to, 1);
-  const auto reading = std::make_shared<Load::Reading>();
+  LoadGenerator reader(system, endpoint, 1);
+  const auto progress = std::make_shared<LoadGenerator::ReadProgress>();
   constexpr int kRows = 3'200;
-  reader.read("SELECT label FROM gallery /*+ rows=" + std::to_string(kRows) + " row_bytes=65536 work=1ms */",
-              65'536, reading);
-  const Figures beside = Load(system, to, 2).warmed().open_loop(50, 20'000'000);
-  long most = 0;
-  while (!reading->over) {
-    most = std::max(most, resident_kib(gateway.pid()));
+  reader.start_read(
+      "SELECT label FROM gallery /*+ rows=" + std::to_string(kRows) + " row_bytes=65536 work=1ms */", 65'536,
+      progress);
+  const Measurement concurrent = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
+  long max_kib = 0;
+  while (!progress->finished) {
+    max_kib = std::max(max_kib, resident_kib(gateway.pid()));
     std::this_thread::sleep_for(std::chrono::milliseconds(200));
   }
   print("lookups alone, 50/s", alone);
-  print("lookups beside it, 50/s", beside);
+  print("lookups beside it, 50/s", concurrent);
   std::printf("200 MB at 1 MB/s: %lld of %d rows, %s; gateway %ld KiB before, %ld KiB at most\n",
-              static_cast<long long>(reading->rows), kRows, reading->served ? "served" : "NOT SERVED", before,
-              most);
+              static_cast<long long>(progress->rows), kRows, progress->served ? "served" : "NOT SERVED",
+              before, max_kib);
 }
 
 int run(const std::string& program, double seconds, double rate, int width, bool columns, bool large) {
@@ -264,11 +277,11 @@
   std::filesystem::create_directories(folder);
   const std::string node = badday::free_address();
   const std::string gateway = badday::free_address();
-  const std::string small = badday::free_address();
+  const std::string narrow = badday::free_address();
   const std::string node_file = folder / "node.toml";
   std::ofstream(node_file) << "[node]\nname = \"n\"\nlisten = \"" << node
                            << "\"\n[engine]\ncores = 1000\nsessions_per_core = 100\nmemory = \"1000GiB\"\n";
-  // A gateway to the node, which takes it to have so many cores.
+  // Writes the configuration of a gateway that assumes the given number of cores for the node.
   const auto gateway_file = [&](const std::string& name, const std::string& listen, int cores,
                                 const std::string& extra = "") {
     std::string file = folder / (name + ".toml");
@@ -299,18 +312,18 @@
     std::filesystem::remove_all(folder);
     return 0;
   }
-  const auto small_process = start("gateway", gateway_file("small", small, 4));
+  const auto narrow_process = start("gateway", gateway_file("small", narrow, 4));
 
-  const auto span = static_cast<TimeUs>(seconds * 1e6);
-  const auto at_rate = [&](const std::string& to) {
-    return Load(system, to, 4).warmed().open_loop(rate, span);
+  const auto duration = static_cast<TimeUs>(seconds * 1e6);
+  const auto open_loop_at = [&](const std::string& endpoint) {
+    return LoadGenerator(system, endpoint, 4).warmed_up().open_loop(rate, duration);
   };
-  const auto full = [&](const std::string& to) {
-    return Load(system, to, 4).warmed().closed_loop(width, span);
+  const auto closed_loop_at = [&](const std::string& endpoint) {
+    return LoadGenerator(system, endpoint, 4).warmed_up().closed_loop(width, duration);
   };
-  const auto spent = [&](const char* name, const Process& process, const auto& load) {
+  const auto measure_cpu = [&](const char* name, const Process& process, const auto& load) {
     const double before = cpu_us(process.pid());
-    const Figures f = load();
+    const Measurement f = load();
     print(name, f);
     std::printf("  %26s %9.0f us of a core a query\n", "",
                 (cpu_us(process.pid()) - before) / static_cast<double>(f.served));
@@ -318,43 +331,47 @@
   };
   std::printf("%u cores; %.0f s each; statement: %s\n", std::thread::hardware_concurrency(), seconds,
               kStatement);
-  full(gateway);  // warms up both
+  closed_loop_at(gateway);  // warms up the gateway and the node
   std::printf("open loop, %.0f queries/s:\n", rate);
-  const Figures direct = spent("  direct", *node_process, [&] { return at_rate(node); });
-  const Figures through = spent("  through the gateway", *gateway_process, [&] { return at_rate(gateway); });
+  const Measurement direct = measure_cpu("  direct", *node_process, [&] { return open_loop_at(node); });
+  const Measurement through =
+      measure_cpu("  through the gateway", *gateway_process, [&] { return open_loop_at(gateway); });
   std::printf("  added p50 %.0f us, p99 %.0f us; ratios %.2f, %.2f\n", through.p50_us - direct.p50_us,
               through.p99_us - direct.p99_us, through.p50_us / direct.p50_us, through.p99_us / direct.p99_us);
   std::printf("closed loop, %d out at all times:\n", width);
-  const Figures most_direct = spent("  direct", *node_process, [&] { return full(node); });
-  const Figures most_through =
-      spent("  through the gateway", *gateway_process, [&] { return full(gateway); });
-  std::printf("  throughput ratio %.2f\n", most_through.per_second / most_direct.per_second);
+  const Measurement direct_closed =
+      measure_cpu("  direct", *node_process, [&] { return closed_loop_at(node); });
+  const Measurement through_closed =
+      measure_cpu("  through the gateway", *gateway_process, [&] { return closed_loop_at(gateway); });
+  std::printf("  throughput ratio %.2f\n", through_closed.per_second / direct_closed.per_second);
 
-  constexpr int kHeld = 5'000;
-  // A gateway that takes the node for a wide one has sent all of them; the other holds nearly all back.
-  std::vector<std::unique_ptr<Load>> holders;
-  const auto held = [&](const char* name, const Process& process, const std::string& to) {
-    Load(system, to, 4).warmed();
+  constexpr int kQueriesInFlight = 5'000;
+  // The gateway configured with 1000 cores sends all of these queries to the node; the one with 4 cores
+  // queues nearly all of them.
+  std::vector<std::unique_ptr<LoadGenerator>> generators;
+  const auto measure_memory = [&](const char* name, const Process& process, const std::string& endpoint) {
+    LoadGenerator(system, endpoint, 4).warmed_up();
     const long before = resident_kib(process.pid());
-    holders.push_back(std::make_unique<Load>(system, to, 4));
-    holders.back()->hold(kHeld, "SELECT 1 /*+ mishap=hang */");
+    generators.push_back(std::make_unique<LoadGenerator>(system, endpoint, 4));
+    generators.back()->send_hanging(kQueriesInFlight, "SELECT 1 /*+ mishap=hang */");
     std::this_thread::sleep_for(std::chrono::seconds(3));
     const long after = resident_kib(process.pid());
-    std::printf("memory, %d requests open, %s: %ld KiB before, %ld KiB then, %.1f KiB each\n", kHeld, name,
-                before, after, static_cast<double>(after - before) / kHeld);
+    std::printf("memory, %d requests open, %s: %ld KiB before, %ld KiB then, %.1f KiB each\n",
+                kQueriesInFlight, name, before, after,
+                static_cast<double>(after - before) / kQueriesInFlight);
   };
-  held("all at the node", *gateway_process, gateway);
-  held("waiting in the gateway", *small_process, small);
+  measure_memory("all at the node", *gateway_process, gateway);
+  measure_memory("waiting in the gateway", *narrow_process, narrow);
   std::fflush(stdout);
   std::filesystem::remove_all(folder);
-  std::_Exit(0);  // the held queries' clients would wait for their answers
+  std::_Exit(0);  // destructors would wait for the responses of the queries in flight
 }
 
 }  // namespace
 }  // namespace sablelink
 
 int main(int argc, char** argv) {
-  CLI::App app{"What a gateway adds, measured on loopback"};
+  CLI::App app{"Measures the overhead of a gateway on loopback"};
   std::string program;
   double seconds = 5;
   double rate = 1000;
@@ -363,10 +380,10 @@
   app.add_option("--seconds", seconds, "Length of each measurement")->capture_default_str();
   bool columns = false;
   bool large = false;
-  app.add_flag("--columns", columns, "Measures tickets and their columns instead");
-  app.add_flag("--large", large, "Measures a large answer to a slow reader instead");
-  app.add_option("--rate", rate, "Queries a second in the open loop")->capture_default_str();
-  app.add_option("--width", width, "Queries out at all times in the closed loop")->capture_default_str();
+  app.add_flag("--columns", columns, "Measure the time to issue tickets instead");
+  app.add_flag("--large", large, "Measure a large result to a slow reader instead");
+  app.add_option("--rate", rate, "Queries per second in the open loop")->capture_default_str();
+  app.add_option("--width", width, "Queries in flight in the closed loop")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   try {
     return sablelink::run(program, seconds, rate, width, columns, large);
