--- a/tests/arrowipc_test.cpp
+++ b/tests/arrowipc_test.cpp
@@ -1,4 +1,4 @@
-// Arrow IPC: what goes out comes back, and bytes that aren't right are refused, whatever they are.
+// Arrow IPC: encoded schemas and batches decode to the same values, and invalid bytes are rejected.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -55,7 +55,7 @@
   return batch;
 }
 
-void expect_same(const Schema& schema, const Batch& a, const Batch& b) {
+void expect_equal(const Schema& schema, const Batch& a, const Batch& b) {
   ASSERT_EQ(a.rows, b.rows);
   for (size_t c = 0; c < schema.fields.size(); ++c)
     for (int64_t r = 0; r < a.rows; ++r)
@@ -63,7 +63,7 @@
           << schema.fields[c].name << " row " << r;
 }
 
-TEST(ArrowIpc, SchemasComeBackAsTheyWere) {
+TEST(ArrowIpc, SchemasRoundTrip) {
   const Schema schema = flat_schema();
   EXPECT_EQ(decode_schema(encode_schema(schema).header), schema);
   EXPECT_EQ(decode_encapsulated_schema(encapsulate(encode_schema(schema))), schema);
@@ -71,31 +71,32 @@
   EXPECT_EQ(encode_schema(schema).header.size() % 8, 0u);
 }
 
-TEST(ArrowIpc, NestedTypesComeBackAsTheyWere) {
+TEST(ArrowIpc, NestedTypesRoundTrip) {
   const flightsql::ResultTable info = flightsql::sql_info({});
   const Message schema = encode_schema(info.schema);
   EXPECT_EQ(decode_schema(schema.header), info.schema);
   const Message batch = encode_batch(info.schema, info.batch);
-  expect_same(info.schema, decode_batch(info.schema, batch.header, batch.body), info.batch);
+  expect_equal(info.schema, decode_batch(info.schema, batch.header, batch.body), info.batch);
 }
 
-TEST(ArrowIpc, ZeroRowsAreABatch) {
+TEST(ArrowIpc, EmptyBatchRoundTrips) {
   const Schema schema = flat_schema();
   const Message m = encode_batch(schema, flat_batch(schema, 0, 0));
   EXPECT_EQ(decode_batch(schema, m.header, m.body).rows, 0);
 }
 
-RC_GTEST_PROP(ArrowIpc, BatchesComeBackAsTheyWere, (uint64_t nulls)) {
+RC_GTEST_PROP(ArrowIpc, BatchesRoundTrip, (uint64_t nulls)) {
   const Schema schema = flat_schema();
   const int64_t rows = *rc::gen::inRange<int64_t>(0, 70);
   const Batch batch = flat_batch(schema, rows, nulls);
   const Message m = encode_batch(schema, batch);
   RC_ASSERT(m.header.size() % 8 == 0u);
-  expect_same(schema, decode_batch(schema, m.header, m.body), batch);
+  expect_equal(schema, decode_batch(schema, m.header, m.body), batch);
 }
 
-// Any change of bytes is either harmless or refused; it never reads outside (see the sanitizer runs).
-RC_GTEST_PROP(ArrowIpc, ChangedBytesAreRefusedOrRead, (uint64_t nulls, uint32_t at, uint8_t value)) {
+// A changed byte either makes decoding fail or gives a batch whose values can be read. A build with
+// sanitizers also verifies that no access is out of bounds.
+RC_GTEST_PROP(ArrowIpc, ChangedBytesAreRejectedOrDecoded, (uint64_t nulls, uint32_t at, uint8_t value)) {
   const Schema schema = flat_schema();
   const Message m = encode_batch(schema, flat_batch(schema, 20, nulls));
   std::string header = m.header;
@@ -121,7 +122,7 @@
   }
 }
 
-RC_GTEST_PROP(ArrowIpc, AnyBytesAreRefused, (const std::string& bytes)) {
+RC_GTEST_PROP(ArrowIpc, RandomBytesAreRejected, (const std::string& bytes)) {
   RC_ASSERT_THROWS_AS(decode_schema(bytes), FormatError);
   RC_ASSERT_THROWS_AS(decode_encapsulated_schema(bytes), FormatError);
 }
@@ -135,7 +136,7 @@
   return "";
 }
 
-TEST(ArrowIpc, WrongLengthsAreNamed) {
+TEST(ArrowIpc, ErrorsNameWrongLengths) {
   const Schema schema = flat_schema();
   const Message m = encode_batch(schema, flat_batch(schema, 9, 0));
   EXPECT_NE(
@@ -149,11 +150,11 @@
   other.fields.push_back(field("more", Type::kInt64));
   EXPECT_NE(error_of([&] { decode_batch(other, m.header, m.body); }).find("'more'"), std::string::npos);
   other = schema;
-  other.fields[1].type = Type::kInt64;  // its buffer is half as long
+  other.fields[1].type = Type::kInt64;  // its buffer has half the required size
   EXPECT_NE(error_of([&] { decode_batch(other, m.header, m.body); }).find("'i'"), std::string::npos);
 }
 
-TEST(ArrowIpc, BuildersRefuseWhatDoesNotFit) {
+TEST(ArrowIpc, BuildersRejectValuesOfOtherTypes) {
   ArrayBuilder narrow(field("i", Type::kInt32));
   ArrayBuilder text(field("u", Type::kUtf8));
   EXPECT_THROW(narrow.integer(int64_t{1} << 40), FormatError);
@@ -161,8 +162,8 @@
   EXPECT_THROW(text.integer(1), FormatError);
 }
 
-// Found by sablelink_fuzz: the verifier of FlatBuffers lets a field pass whose type has a kind and no table.
-TEST(ArrowIpc, AFieldWhoseTypeHasNoTableIsRefused) {
+// Found by sablelink_fuzz: the FlatBuffers verifier accepts a field whose type has a type tag but no table.
+TEST(ArrowIpc, FieldWhoseTypeHasNoTableIsRejected) {
   const std::string hex =
       "ffffffff800100001000000000000a000c000600050008000a000000000104000c0000000800080000000400"
       "08000000040000000700000028010000e0000000b00000008000000058000000300000000400000004ffffff"
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -1,6 +1,7 @@
-// Mutates well-formed inputs and feeds them to everything that reads bytes from outside. An input that
-// crashes, trips a sanitizer, throws what it shouldn't or breaks a target's own check is printed in hex and
-// is the failure. Without a sanitizer it still finds the last two.
+// Fuzzes all parsers of untrusted input with mutations of well-formed inputs. An input fails if it crashes,
+// makes a sanitizer report an error, throws an unexpected exception or violates a check of its target; it is
+// printed in hex and ends the run. Invalid memory accesses are reliably detected only in a build with
+// sanitizers.
 //
 //   sablelink_fuzz [TARGET...] [--runs N] [--seed S]
 #include <google/protobuf/stubs/logging.h>
@@ -43,12 +44,12 @@
 struct Target {
   std::string name;
   std::vector<std::string> seeds;
-  std::vector<std::string> words;  // pieces that a reader gives a meaning to
+  std::vector<std::string> tokens;  // tokens with a meaning to the parser, inserted by mutations
   std::function<void(const std::string&)> feed;
 };
 
-void check(bool holds, const char* what) {
-  if (!holds) throw std::logic_error(what);
+void check(bool condition, const char* what) {
+  if (!condition) throw std::logic_error(what);
 }
 
 // ---- Mutation
@@ -74,22 +75,22 @@
       case 4:
         text.resize(at);
         break;
-      case 5: {  // a number at the edge of its type
-        constexpr uint64_t kEdges[] = {0,      1,          0x7f,       0xff,       0x7fff,
-                                       0xffff, 0x7fffffff, 0xffffffff, ~0ull >> 1, ~0ull};
-        const uint64_t value = kEdges[below(10)];
+      case 5: {  // a boundary value of an integer type
+        constexpr uint64_t kBoundaryValues[] = {0,      1,          0x7f,       0xff,       0x7fff,
+                                                0xffff, 0x7fffffff, 0xffffffff, ~0ull >> 1, ~0ull};
+        const uint64_t value = kBoundaryValues[below(10)];
         const size_t width = size_t{1} << below(4);
         if (at + width <= text.size()) std::memcpy(text.data() + at, &value, width);
         break;
       }
-      case 6: {  // a piece of another input
+      case 6: {  // a part of another input
         const std::string& other = target.seeds[below(target.seeds.size())];
         const size_t from = below(other.size() + 1);
         text.insert(at, other.substr(from, 1 + below(32)));
         break;
       }
       default:
-        if (!target.words.empty()) text.insert(at, target.words[below(target.words.size())]);
+        if (!target.tokens.empty()) text.insert(at, target.tokens[below(target.tokens.size())]);
     }
     if (text.size() > 1 << 16) text.resize(1 << 16);
   }
@@ -98,12 +99,12 @@
 
 // ---- Targets
 
-// Two byte strings in one input: the first's length goes before it.
-std::string joined(const std::string& a, const std::string& b) {
+// Encodes two byte strings as one input: the first is preceded by its length in two bytes.
+std::string join_inputs(const std::string& a, const std::string& b) {
   const auto n = static_cast<uint16_t>(a.size());
   return std::string{static_cast<char>(n & 0xff), static_cast<char>(n >> 8)} + a + b;
 }
-std::pair<std::string, std::string> parted(const std::string& bytes) {
+std::pair<std::string, std::string> split_input(const std::string& bytes) {
   if (bytes.size() < 2) return {bytes, ""};
   const size_t n = static_cast<uint8_t>(bytes[0]) | static_cast<size_t>(static_cast<uint8_t>(bytes[1])) << 8;
   return {bytes.substr(2, n), bytes.size() > 2 + n ? bytes.substr(2 + n) : ""};
@@ -145,16 +146,16 @@
   return batch;
 }
 
-// Whatever decodes must bear being encoded again, and come back the same.
+// A batch that decodes must survive another round of encoding and decoding with the same number of rows.
 void batch_target(const std::string& bytes) {
   const arrowipc::Schema schema = sample_schema();
-  const auto [header, body] = parted(bytes);
+  const auto [header, body] = split_input(bytes);
   try {
     const arrowipc::Batch batch = arrowipc::decode_batch(schema, header, body);
     check(batch.columns.size() == schema.fields.size(), "a column is missing");
-    const arrowipc::Message again = arrowipc::encode_batch(schema, batch);
-    const arrowipc::Batch twice = arrowipc::decode_batch(schema, again.header, again.body);
-    check(twice.rows == batch.rows, "rows were lost");
+    const arrowipc::Message encoded = arrowipc::encode_batch(schema, batch);
+    const arrowipc::Batch decoded_again = arrowipc::decode_batch(schema, encoded.header, encoded.body);
+    check(decoded_again.rows == batch.rows, "rows were lost");
   } catch (const arrowipc::FormatError&) {
   }
 }
@@ -162,8 +163,8 @@
 void schema_target(const std::string& bytes) {
   try {
     const arrowipc::Schema schema = arrowipc::decode_schema(bytes);
-    const arrowipc::Schema again = arrowipc::decode_schema(arrowipc::encode_schema(schema).header);
-    check(again.fields.size() == schema.fields.size(), "fields were lost");
+    const arrowipc::Schema decoded_again = arrowipc::decode_schema(arrowipc::encode_schema(schema).header);
+    check(decoded_again.fields.size() == schema.fields.size(), "fields were lost");
   } catch (const arrowipc::FormatError&) {
   }
   try {
@@ -179,14 +180,15 @@
 void statement_target(const std::string& text) {
   size_t last = 0;
   for (const sql::Token& t : sql::tokenize(text)) {
-    check(!t.text.empty() && t.at >= last && t.at + t.text.size() <= text.size(), "a token lies outside");
-    check(text.compare(t.at, t.text.size(), t.text) == 0, "a token isn't the statement's text");
+    check(!t.text.empty() && t.at >= last && t.at + t.text.size() <= text.size(),
+          "a token is empty, out of order or out of bounds");
+    check(text.compare(t.at, t.text.size(), t.text) == 0, "a token differs from the statement's text");
     last = t.at + t.text.size();
   }
   sql::inspect(text);
   const size_t n = sql::count_parameters(text);
   if (n <= 64) {
-    // A text bound is one literal, whatever stands in it.
+    // A bound text is a single literal, even if it contains quotes, placeholders or comments.
     const std::string bound = sql::substitute(text, std::vector<std::string>(n, sql::quote("it's ? -- /*")));
     check(n > 0 || bound == text, "a statement without parameters was changed");
   }
@@ -194,42 +196,44 @@
 
 void terms_target(const std::string& bytes) {
   const flightsql::NodeReport report = flightsql::decode_report(bytes);
-  if (report.work_us) check(*report.work_us >= 0, "work below 0");
-  if (report.used_mb) check(*report.used_mb >= 0, "memory below 0");
+  if (report.work_us) check(*report.work_us >= 0, "negative work");
+  if (report.used_mb) check(*report.used_mb >= 0, "negative memory");
   rpc::CallResult end;
   end.status = {rpc::Code::kUnavailable, "m", bytes};
   end.trailers.emplace_back(std::string(flightsql::kLoadReportKey), bytes);
   flightsql::map_call_end(end);
 }
 
-// Read whole and byte by byte, bytes are the same messages, up to the same fault.
+// Parses the input in pieces of `step` bytes. Returns the messages and the error, which must not depend on
+// `step`.
 template <typename Reader, typename Text>
 std::string messages_of(const std::string& bytes, size_t step, Text text) {
   http::MessageLimits limits;
   limits.max_header_bytes = 512;
   limits.max_body_bytes = 256;
   Reader reader(limits);
-  std::string out;
+  std::string result;
   for (size_t at = 0; at < bytes.size(); at += step) {
     auto state = reader.feed(std::string_view(bytes).substr(at, step));
     while (state == http::ParseStatus::kComplete) {
-      out += text(reader.take()) + "\n";
+      result += text(reader.take()) + "\n";
       state = reader.feed({});
     }
-    check(reader.buffered_bytes() <= bytes.size(), "more is held than came");
-    if (state == http::ParseStatus::kMalformed) return out + "bad " + std::to_string(reader.error_status());
+    check(reader.buffered_bytes() <= bytes.size(), "more bytes are buffered than were fed");
+    if (state == http::ParseStatus::kMalformed)
+      return result + "bad " + std::to_string(reader.error_status());
   }
-  return out;
+  return result;
 }
 
 void http_target(const std::string& bytes) {
   const auto fields = [](const http::Fields& all) {
-    std::string out;
-    for (const auto& [name, value] : all) out.append(name).append("=").append(value).append(";");
-    return out;
+    std::string result;
+    for (const auto& [name, value] : all) result.append(name).append("=").append(value).append(";");
+    return result;
   };
   const auto request = [&](const http::Request& r) {
-    check(r.body.size() <= 256, "a body passes its limit");
+    check(r.body.size() <= 256, "a body exceeds its limit");
     platform::HttpServerOptions options;
     options.classes = {"lookup"};
     options.max_timeout_us = {5'000'000};
@@ -240,30 +244,34 @@
     return r.method + " " + r.target + " " + fields(r.fields) + r.body + (r.keep_alive ? "+" : "-");
   };
   const auto response = [&](const http::Response& r) {
-    check(r.body.size() <= 256 && r.status >= 200, "no answer");
+    check(r.body.size() <= 256 && r.status >= 200, "a response has an invalid status or body size");
     return std::to_string(r.status) + fields(r.fields) + r.body + (r.keep_alive ? "+" : "-");
   };
-  const std::string asked = messages_of<http::RequestReader>(bytes, bytes.size() + 1, request);
-  const std::string told = messages_of<http::ResponseReader>(bytes, bytes.size() + 1, response);
+  const std::string whole_requests = messages_of<http::RequestReader>(bytes, bytes.size() + 1, request);
+  const std::string whole_responses = messages_of<http::ResponseReader>(bytes, bytes.size() + 1, response);
   for (const size_t step : {size_t{1}, size_t{5}}) {
-    check(messages_of<http::RequestReader>(bytes, step, request) == asked, "requests differ by their pieces");
-    check(messages_of<http::ResponseReader>(bytes, step, response) == told, "answers differ by their pieces");
+    check(messages_of<http::RequestReader>(bytes, step, request) == whole_requests,
+          "requests depend on how the input is split");
+    check(messages_of<http::ResponseReader>(bytes, step, response) == whole_responses,
+          "responses depend on how the input is split");
   }
 }
 
 void change_log_target(const std::string& bytes) {
-  std::string whole;
-  std::string pieces;
+  std::string whole_events;
+  std::string split_events;
   platform::ChangeLogReader a(3, {});
   platform::ChangeLogReader b(3, {});
-  bool good =
-      a.feed(bytes, [&](const platform::WatchEvent& e) { whole += std::to_string(e.sequence_number) + ","; });
-  bool also = true;
-  for (size_t i = 0; also && i < bytes.size(); ++i)
-    also = b.feed(bytes.substr(i, 1),
-                  [&](const platform::WatchEvent& e) { pieces += std::to_string(e.sequence_number) + ","; });
-  check(good == also && whole == pieces && a.last_sequence_number() == b.last_sequence_number(),
-        "events differ by their pieces");
+  bool whole_ok = a.feed(
+      bytes, [&](const platform::WatchEvent& e) { whole_events += std::to_string(e.sequence_number) + ","; });
+  bool split_ok = true;
+  for (size_t i = 0; split_ok && i < bytes.size(); ++i)
+    split_ok = b.feed(bytes.substr(i, 1), [&](const platform::WatchEvent& e) {
+      split_events += std::to_string(e.sequence_number) + ",";
+    });
+  check(whole_ok == split_ok && whole_events == split_events &&
+            a.last_sequence_number() == b.last_sequence_number(),
+        "events depend on how the input is split");
 }
 
 std::vector<Target> targets() {
@@ -272,7 +280,7 @@
   std::vector<std::string> batches;
   for (const int64_t rows : {0, 1, 5, 70}) {
     const arrowipc::Message m = arrowipc::encode_batch(sample_schema(), sample_batch(rows));
-    batches.push_back(joined(m.header, m.body));
+    batches.push_back(join_inputs(m.header, m.body));
   }
   all.push_back({"batch", batches, {}, batch_target});
   all.push_back({"schema", {schema.header, arrowipc::encapsulate(schema)}, {}, schema_target});
@@ -284,7 +292,7 @@
        {"'", "\"", "`", "?", "--", "/*", "*/", "$$", "$a$", "E'", "\\", "''", "[", "]", "SELECT ", "\n"},
        statement_target});
 
-  // Shapes: nothing is lost that isn't folded, and the same text has one shape.
+  // Shapes of statements: a bounded size, and a shape with folded literals no longer than one without.
   all.push_back(
       {"shape",
        {"SELECT a, 1 FROM t WHERE b = 'x' AND c IN (1, 2) LIMIT 3", "SELECT 5--1\n FROM t",
@@ -294,20 +302,20 @@
        [](const std::string& text) {
          const std::string shape = sql::shape_of(text);
          check(shape.size() <= 2 * text.size() + 2, "a shape is longer than its statement");
-         check(sql::exact_shape_of(text).size() + 2 >= shape.size(), "folding makes it longer");
-         nodes::Content content(text, 1);  // the stand-in's own reading of it
+         check(sql::exact_shape_of(text).size() + 2 >= shape.size(), "folding makes a shape longer");
+         nodes::Content content(text, 1);  // the stand-in node's parser of statements
          check(content.schema().fields.size() >= 1, "a statement has no columns");
        }});
 
-  static flightsql::TicketOffice office(1, 2);
+  static flightsql::TicketOffice ticket_office(1, 2);
   all.push_back({"ticket",
-                 {office.issue("SELECT 1"), office.issue(std::string(300, 's'))},
+                 {ticket_office.issue("SELECT 1"), ticket_office.issue(std::string(300, 's'))},
                  {},
                  [](const std::string& bytes) {
-                   const flightsql::OpenedTicket t = office.open(bytes);
+                   const flightsql::OpenedTicket t = ticket_office.open(bytes);
                    if (t.fault != flightsql::TicketFault::kNone) return;
                    check(t.statement == "SELECT 1" || t.statement == std::string(300, 's'),
-                         "a ticket that was changed opens");
+                         "a modified ticket is accepted");
                  }});
 
   flightsql::NodeReport report;
@@ -345,12 +353,12 @@
        {"\t", "\n", ";", ":", "_", ".", "\"", "'", "1e400", "\xf0\x9f"},
        [](const std::string& text) {
          if (const auto rows = platform::page_to_json_rows(text)) {
-           check(platform::is_plain_text(*rows), "rows that are no text");
+           check(platform::is_plain_text(*rows), "rows aren't valid text");
            check(std::count(text.begin(), text.end(), '\n') <= std::count(rows->begin(), rows->end(), '['),
-                 "a row is lost");
+                 "a row is missing");
          }
          platform::parse_load_report(text);
-         check(sql::table_group(text) >= -1, "a group below none");
+         check(sql::table_group(text) >= -1, "a group below -1");
        }});
   all.push_back(
       {"platform-config",
@@ -395,17 +403,17 @@
 
 // ---- Running
 
-const std::string* current = nullptr;
+const std::string* current_input = nullptr;
 
 void print_current(const char* what) {
   std::fprintf(stderr, "%s with the input:\n", what);
-  if (current != nullptr)
-    for (const char c : *current) std::fprintf(stderr, "%02x", static_cast<unsigned char>(c));
+  if (current_input != nullptr)
+    for (const char c : *current_input) std::fprintf(stderr, "%02x", static_cast<unsigned char>(c));
   std::fprintf(stderr, "\n");
 }
 
 int fuzz(const std::vector<std::string>& names, uint64_t runs, uint64_t seed) {
-  // A sanitizer that finds something ends by abort() where it is told to (abort_on_error=1).
+  // With abort_on_error=1, a sanitizer ends the process by abort(), so this handler prints the input.
   for (const int signal : {SIGSEGV, SIGABRT, SIGFPE, SIGBUS})
     std::signal(signal, [](int) {
       print_current("crashed");
@@ -422,14 +430,14 @@
     Random random(seed);
     for (uint64_t i = 0; i < runs; ++i) {
       const std::string input = i < target.seeds.size() ? target.seeds[i] : mutate(target, random);
-      current = &input;
+      current_input = &input;
       try {
         target.feed(input);
       } catch (const std::exception& e) {
         print_current((target.name + ": " + e.what()).c_str());
         return 1;
       }
-      current = nullptr;
+      current_input = nullptr;
     }
     std::printf("%-16s %llu inputs\n", target.name.c_str(), static_cast<unsigned long long>(runs));
     std::fflush(stdout);
@@ -441,13 +449,13 @@
 }  // namespace sablelink
 
 int main(int argc, char** argv) {
-  CLI::App app{"Feeds mutated inputs to the readers of bytes from outside"};
+  CLI::App app{"Fuzzes the parsers of untrusted input"};
   std::vector<std::string> names;
   uint64_t runs = 20'000;
   uint64_t seed = 1;
-  app.add_option("target", names, "Targets; all where none is named");
-  app.add_option("--runs", runs, "Inputs for each target")->capture_default_str();
-  app.add_option("--seed", seed, "Of the mutations")->capture_default_str();
+  app.add_option("target", names, "Targets to run; all by default");
+  app.add_option("--runs", runs, "Number of inputs for each target")->capture_default_str();
+  app.add_option("--seed", seed, "Seed of the mutations")->capture_default_str();
   CLI11_PARSE(app, argc, argv);
   google::protobuf::SetLogHandler(nullptr);
   return sablelink::fuzz(names, runs, seed);
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -1,4 +1,5 @@
-// A gateway, stand-in nodes and clients on loopback sockets, with what nodes and clients saw for the auditor.
+// Runs a gateway, stand-in nodes and clients on loopback sockets and records the events of nodes and clients
+// for the auditor.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -154,17 +155,17 @@
     return o;
   }
   template <typename T>
-  std::future<T> spawn(rpc::Awaitable<T> work) {
-    return loop_->spawn(std::move(work));
+  std::future<T> spawn(rpc::Awaitable<T> operation) {
+    return loop_->spawn(std::move(operation));
   }
-  // Sends a statement and takes down what the auditor needs of it.
+  // Sends a statement and records the client's view of it for the auditor.
   std::future<QueryResult> send(const std::string& sql, const std::string& tag, ClientOptions o,
                                 bool update = false, Client* client = nullptr) {
     o.headers.emplace_back(std::string(flightsql::kClientTagKey), tag);
-    return spawn(recorded(client == nullptr ? client_.get() : client, sql, tag, std::move(o), update));
+    return spawn(run_recorded(client == nullptr ? client_.get() : client, sql, tag, std::move(o), update));
   }
-  rpc::Awaitable<QueryResult> recorded(Client* client, std::string sql, std::string tag, ClientOptions o,
-                                       bool update) {
+  rpc::Awaitable<QueryResult> run_recorded(Client* client, std::string sql, std::string tag, ClientOptions o,
+                                           bool update) {
     audit::ClientRecord r;
     r.tag = tag;
     r.gateway = "g";
@@ -187,7 +188,7 @@
     records_.clients.push_back(r);
     co_return result;
   }
-  // Breaks off every call that is out.
+  // Cancels all calls in flight.
   void cancel_all() {
     loop_->post_and_wait([&] { cancel_->cancel_all(); });
   }
@@ -195,7 +196,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(system_.wall().time_since_epoch()).count();
   }
   static void sleep(TimeUs us) { std::this_thread::sleep_for(std::chrono::microseconds(us)); }
-  // Waits until a condition holds; false after ten seconds.
+  // Waits until the condition holds. Returns false after ten seconds.
   template <typename Condition>
   bool wait_for(Condition condition) {
     for (int i = 0; i < 10'000; ++i) {
@@ -212,20 +213,20 @@
     return n;
   }
 
-  // What the auditor finds in all that has passed.
+  // Returns the auditor's findings for all events recorded so far, one per line.
   std::string audited() {
     audit::AuditSettings s;
     s.classes = config_.settings.classes;
     s.class_names = config_.class_names;
     s.rules = config_.settings;
-    s.slack_us = 200 * kMs;  // tests may run on crowded machines
+    s.slack_us = 200 * kMs;  // tolerates delays on busy machines
     for (const config::EngineConfig& n : config_.engines)
       s.nodes.push_back({n.name, n.zone, n.engine_type, n.cell, 8, 1, 0});
     const std::lock_guard lock(mutex_);
     records_.nodes = recorder_.events();
-    std::string found;
-    for (const audit::Finding& f : audit::audit(s, records_).findings) found += f.what + "\n";
-    return found;
+    std::string findings;
+    for (const audit::Finding& f : audit::audit(s, records_).findings) findings += f.what + "\n";
+    return findings;
   }
 
   service::System system_;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,11 +1,12 @@
-// The whole path on loopback sockets: clients, a gateway, stand-in nodes, and the failures that the gateway
-// is made for. What each test checks was seen by the nodes or the clients; the auditor has the last word.
+// End-to-end tests of clients, a gateway and stand-in nodes on loopback sockets, including failures of nodes,
+// connections and clients. The tests check only what nodes and clients observe; most of them end with an
+// audit of these observations.
 #include "tests/loopback_harness.h"
 
 namespace sablelink::test {
 namespace {
 
-TEST_F(Loopback, AQueryComesBackWhole) {
+TEST_F(Loopback, QueryReturnsAllRows) {
   add_node();
   start();
   const QueryResult r = send("SELECT * FROM gallery /*+ rows=2500 */", "a", options(5 * kSecond)).get();
@@ -19,7 +20,7 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AnUpdateComesBackAsACount) {
+TEST_F(Loopback, UpdateReturnsRowCount) {
   add_node();
   start();
   const QueryResult r = send("UPDATE gallery SET a = 1 /*+ rows=7 */", "a", options(5 * kSecond), true).get();
@@ -27,11 +28,11 @@
   EXPECT_EQ(r.updated, 7);
 }
 
-TEST_F(Loopback, ALostAnswerIsTriedElsewhereOnceItsAttemptIsOver) {
+TEST_F(Loopback, LostResponseIsRetriedAfterItsAttemptEnds) {
   add_node();
   add_node();
   start();
-  for (int i = 0; i < 20; ++i)  // what queries take is known by then
+  for (int i = 0; i < 20; ++i)  // gives the gateway an estimate of the execution time
     ASSERT_EQ(send("SELECT 1 /*+ work=10ms */", "w" + std::to_string(i), options(5 * kSecond)).get().verdict,
               RequestStatus::kServed);
   const QueryResult r =
@@ -39,14 +40,14 @@
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded, "lost") == 2; }));
-  size_t done = 0;
+  size_t completed = 0;
   for (const NodeEvent& e : recorder_.events())
-    done += e.tag == "lost" && e.kind == NodeEvent::Kind::kEnded && e.done;
-  EXPECT_EQ(done, 2u);  // the first did its work as well
+    completed += e.tag == "lost" && e.kind == NodeEvent::Kind::kEnded && e.done;
+  EXPECT_EQ(completed, 2u);  // the first attempt completed, too; only its response was lost
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AnUnsafeStatementWhoseConnectionBreaksFailsAndRunsOnce) {
+TEST_F(Loopback, UnsafeStatementIsNotRetriedAfterConnectionReset) {
   add_node();
   add_node();
   start();
@@ -59,7 +60,7 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, ASafeQueryWhoseConnectionBreaksIsTriedAgain) {
+TEST_F(Loopback, SafeQueryIsRetriedAfterConnectionReset) {
   add_node();
   add_node();
   start();
@@ -70,7 +71,7 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AnUnsafeStatementThatANodeDidNotAdmitGoesElsewhere) {
+TEST_F(Loopback, UnsafeStatementThatNodeRejectedIsRetried) {
   add_node();
   add_node();
   start();
@@ -82,28 +83,28 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AClientThatGivesUpMidRetryLeavesNothingBehind) {
+TEST_F(Loopback, CancellationDuringRetriesReleasesAllRequests) {
   add_node();
   add_node();
   start();
   for (int i = 0; i < 20; ++i)
     send("SELECT 1 /*+ work=50ms */", "w" + std::to_string(i), options(5 * kSecond)).get();
-  // Every attempt fails after a while; the clients' connections break at times between and within attempts.
-  std::vector<std::unique_ptr<Client>> leavers;
+  // Every attempt fails after 60 ms, so that the cancellation comes during some attempts and between others.
+  std::vector<std::unique_ptr<Client>> clients;
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 10; ++i) {
-    leavers.push_back(open_client());
+    clients.push_back(open_client());
     all.push_back(send("SELECT 1 /*+ work=60ms mishap=error */", "r" + std::to_string(i),
-                       options(5 * kSecond), false, leavers.back().get()));
+                       options(5 * kSecond), false, clients.back().get()));
   }
   EXPECT_TRUE(wait_for([&] {
-    size_t further = 0;
+    size_t retries = 0;
     for (const NodeEvent& e : recorder_.events())
-      further += e.kind == NodeEvent::Kind::kArrived && e.attempt > 0;
-    return further > 0;
+      retries += e.kind == NodeEvent::Kind::kArrived && e.attempt > 0;
+    return retries > 0;
   }));
-  const size_t held = open_requests();
-  EXPECT_GT(held, 0u);
+  const size_t open_before_cancel = open_requests();
+  EXPECT_GT(open_before_cancel, 0u);
   gateway_->inspect([](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
     EXPECT_GT(c.counters().retries, 0u);
   });
@@ -115,46 +116,46 @@
   }));
 }
 
-TEST_F(Loopback, AClientThatDisconnectsMidAnswerStopsItsQueryAlone) {
+TEST_F(Loopback, DisconnectDuringResponseStopsOnlyThatQuery) {
   add_node();
   config_.dispatcher.response_buffer_bytes = 1000;
   config_.dispatcher.stream_window_bytes = 64 << 10;
   start();
-  auto leaver = open_client();
+  auto client = open_client();
   std::atomic<int> batches{0};
-  auto work = [](Client* c, std::atomic<int>* seen) -> rpc::Awaitable<QueryResult> {
+  auto work = [](Client* c, std::atomic<int>* batch_count) -> rpc::Awaitable<QueryResult> {
     std::string sql = "SELECT * FROM gallery /*+ rows=1000000 row_bytes=200 */";
-    Client::OnBatch on_batch = [seen](const arrowipc::Schema&, const arrowipc::Batch&) {
-      if (++*seen == 3) throw std::runtime_error("the client leaves");
+    Client::OnBatch on_batch = [batch_count](const arrowipc::Schema&, const arrowipc::Batch&) {
+      if (++*batch_count == 3) throw std::runtime_error("the client disconnects");
     };
     ClientOptions o;
     QueryResult r = co_await c->query(std::move(sql), std::move(o), std::move(on_batch));
     co_return r;
   };
-  auto left = spawn(work(leaver.get(), &batches));
-  EXPECT_THROW(left.get(), std::runtime_error);
-  leaver.reset();
+  auto aborted = spawn(work(client.get(), &batches));
+  EXPECT_THROW(aborted.get(), std::runtime_error);
+  client.reset();
   EXPECT_TRUE(wait_for([&] { return open_requests() == 0; }));
   EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] {
     return recorder_.count(NodeEvent::Kind::kArrived) == recorder_.count(NodeEvent::Kind::kEnded);
   }));
-  size_t held = 1;
+  size_t buffered_bytes = 1;
   EXPECT_TRUE(wait_for([&] {
     gateway_->inspect([&](const dispatch::RequestDispatcher& c, const flightsql::FlightSqlServer&) {
-      held = c.buffered_bytes();
+      buffered_bytes = c.buffered_bytes();
     });
-    return held == 0;
+    return buffered_bytes == 0;
   }));
 }
 
-TEST_F(Loopback, AHungNodeIsLeftAndItsQueriesAreServedElsewhere) {
-  service::NodeService& bad = add_node();
+TEST_F(Loopback, QueriesOfHungNodeAreServedByOtherNode) {
+  service::NodeService& hung = add_node();
   add_node();
   start();
   for (int i = 0; i < 40; ++i)
     send("SELECT 1 /*+ work=5ms */", "w" + std::to_string(i), options(5 * kSecond)).get();
-  bad.inspect([](nodes::StandIn& n) { n.begin_fault(nodes::FaultKind::kHang, 60 * kSecond, 1); });
+  hung.inspect([](nodes::StandIn& n) { n.begin_fault(nodes::FaultKind::kHang, 60 * kSecond, 1); });
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 30; ++i)
     all.push_back(send("SELECT 1 /*+ work=5ms */", "h" + std::to_string(i), options(9 * kSecond)));
@@ -165,15 +166,15 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, ARefusedPortIsProofThatNothingRan) {
+TEST_F(Loopback, UnsafeStatementIsRetriedAfterRefusedConnection) {
   add_node();
-  config::EngineConfig closed;  // nobody listens there
+  config::EngineConfig closed;  // no server listens on its port
   closed.name = "closed";
   {
-    nodes::NodeConfig gone;
-    gone.listen = "127.0.0.1:0";
-    service::NodeService ghost(gone, system_, nullptr);
-    closed.address = "127.0.0.1:" + std::to_string(ghost.port());
+    nodes::NodeConfig unused_port;
+    unused_port.listen = "127.0.0.1:0";
+    service::NodeService stopped_node(unused_port, system_, nullptr);
+    closed.address = "127.0.0.1:" + std::to_string(stopped_node.port());
   }
   config_.engines.push_back(closed);
   start();
@@ -185,7 +186,7 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AStreamBrokenWithinTheHeldPartIsTriedAgain) {
+TEST_F(Loopback, StreamBrokenWithinBufferedPartIsRetried) {
   add_node();
   add_node();
   start();
@@ -196,7 +197,7 @@
   EXPECT_EQ(r.rows, 5000);
 }
 
-TEST_F(Loopback, AStreamBrokenPastTheHeldPartFails) {
+TEST_F(Loopback, StreamBrokenAfterBufferedPartFails) {
   add_node();
   add_node();
   config_.dispatcher.response_buffer_bytes = 1000;
@@ -207,7 +208,7 @@
   EXPECT_EQ(r.attempts, 1);
 }
 
-TEST_F(Loopback, TwoClientsOfOneKeyTakeTurns) {
+TEST_F(Loopback, RequestsOfOneKeyFromTwoClientsRunOneAtATime) {
   add_node();
   add_node();
   start();
@@ -222,20 +223,20 @@
     EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
   EXPECT_EQ(audited(), "");
-  // Seen at the nodes: no two at once.
-  int out = 0;
+  // At the nodes, no two attempts overlap.
+  int running = 0;
   std::vector<NodeEvent> events = recorder_.events();
   std::stable_sort(events.begin(), events.end(),
                    [](const NodeEvent& a, const NodeEvent& b) { return a.at < b.at; });
   for (const NodeEvent& e : events) {
-    if (e.kind == NodeEvent::Kind::kArrived) ++out;
-    if (e.kind == NodeEvent::Kind::kEnded) --out;
-    EXPECT_LE(out, 1);
+    if (e.kind == NodeEvent::Kind::kArrived) ++running;
+    if (e.kind == NodeEvent::Kind::kEnded) --running;
+    EXPECT_LE(running, 1);
   }
   second.reset();
 }
 
-TEST_F(Loopback, ADrainToldWhileARetryIsDueIsKept) {
+TEST_F(Loopback, DrainReportedBeforeRetryIsRespected) {
   add_node();
   add_node();
   add_node();
@@ -245,13 +246,13 @@
     all.push_back(send("SELECT 1 /*+ work=100ms mishap=error on_attempt=0 */", "d" + std::to_string(i),
                        options(8 * kSecond)));
   sleep(30 * kMs);
-  config::GatewayConfig told = config_;
-  told.engines[2].state = EndpointState::kDraining;
+  config::GatewayConfig changed = config_;
+  changed.engines[2].state = EndpointState::kDraining;
   {
     const std::lock_guard lock(mutex_);
     records_.told.push_back({"g", "n2", wall()});
   }
-  gateway_->reload(told);
+  gateway_->reload(changed);
   for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(send("SELECT 1", "e" + std::to_string(i), options(5 * kSecond)).get().verdict,
@@ -259,7 +260,7 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, EveryAllowedNodeDownMeansNoNodeAtAll) {
+TEST_F(Loopback, RequestIsRejectedIfAllNodesOfItsZoneAreDown) {
   add_node();
   service::NodeService& far = add_node({}, 1);
   start();
@@ -272,23 +273,23 @@
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, ANodeThatRestartsColdUnderFullLoadStaysUp) {
-  nodes::NodeConfig cold;
-  cold.engine.cores = 2;
-  cold.engine.cold_from = 0.3;
-  cold.engine.warm_after_us = 4 * kSecond;
-  cold.engine.fall_multiple = 3;
-  cold.engine.fall_us = kSecond;
+TEST_F(Loopback, NodeRestartedUnderFullLoadDoesNotCollapse) {
+  nodes::NodeConfig restarted;
+  restarted.engine.cores = 2;
+  restarted.engine.cold_from = 0.3;
+  restarted.engine.warm_after_us = 4 * kSecond;
+  restarted.engine.fall_multiple = 3;
+  restarted.engine.fall_us = kSecond;
   Settings& rules = config_.settings;
   rules.slow_start_min_capacity_fraction = 0.3;
   rules.slow_start_duration_us = 4 * kSecond;
   rules.collapse_load_multiple = 3;
   rules.collapse_window_us = kSecond;
   rules.engine_type_cores = {2};
-  nodes::NodeConfig warm = cold;
-  warm.engine.warm_after_us = 0;
-  add_node(warm);
-  add_node(warm);
+  nodes::NodeConfig initial = restarted;
+  initial.engine.warm_after_us = 0;
+  add_node(initial);
+  add_node(initial);
   start();
   const auto load = [&](const std::string& name, int count) {
     std::vector<std::future<QueryResult>> all;
@@ -300,20 +301,20 @@
   };
   load("w", 60);
   nodes_[1]->kill();
-  cold.listen = config_.engines[1].address;
-  cold.name = "n1";
-  nodes_[1] = std::make_unique<service::NodeService>(cold, system_, &recorder_);
-  config::GatewayConfig told = config_;
-  told.engines[1].started_at = wall();
-  gateway_->reload(told);
+  restarted.listen = config_.engines[1].address;
+  restarted.name = "n1";
+  nodes_[1] = std::make_unique<service::NodeService>(restarted, system_, &recorder_);
+  config::GatewayConfig changed = config_;
+  changed.engines[1].started_at = wall();
+  gateway_->reload(changed);
   load("c", 250);
-  bool fallen = true;
-  nodes_[1]->inspect([&](nodes::StandIn& n) { fallen = n.fallen(); });
-  EXPECT_FALSE(fallen);
+  bool collapsed = true;
+  nodes_[1]->inspect([&](nodes::StandIn& n) { collapsed = n.fallen(); });
+  EXPECT_FALSE(collapsed);
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, ASecondDoGetOnOneTicketIsServedAsARepeat) {
+TEST_F(Loopback, SecondDoGetOfOneTicketIsServed) {
   add_node();
   start();
   const Client::Ticket ticket = spawn(client_->ask("SELECT 1", options(5 * kSecond))).get();
@@ -329,7 +330,7 @@
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived), 0u);
 }
 
-TEST_F(Loopback, ACancelEndsTheQueryAndStopsItsNode) {
+TEST_F(Loopback, CancellationEndsQueryAndItsAttempt) {
   add_node();
   start();
   const Client::Ticket ticket = spawn(client_->ask("SELECT 1 /*+ work=60s */", options(30 * kSecond))).get();
@@ -352,31 +353,31 @@
   EXPECT_EQ(cancel(), flightsql::flight::CANCEL_STATUS_NOT_CANCELLABLE);
 }
 
-TEST_F(Loopback, StoppingEndsWhatIsHeldAndRefusesTheNew) {
+TEST_F(Loopback, ShutdownCompletesOpenRequestsAndRejectsNewOnes) {
   add_node();
   start();
-  auto held = send("SELECT 1 /*+ work=400ms */", "held", options(5 * kSecond));
+  auto running = send("SELECT 1 /*+ work=400ms */", "held", options(5 * kSecond));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 1; }));
-  std::future<void> stopped = std::async(std::launch::async, [&] { gateway_->shut_down(5 * kSecond); });
+  std::future<void> shutdown_done = std::async(std::launch::async, [&] { gateway_->shut_down(5 * kSecond); });
   QueryResult fresh;
   EXPECT_TRUE(wait_for([&] {
     fresh = send("SELECT 1", "fresh" + std::to_string(wall()), options(kSecond)).get();
     return fresh.reason == "stopping";
   }));
   EXPECT_EQ(fresh.status.code, Code::kUnavailable);
-  EXPECT_EQ(held.get().verdict, RequestStatus::kServed);
-  stopped.get();
+  EXPECT_EQ(running.get().verdict, RequestStatus::kServed);
+  shutdown_done.get();
 }
 
-TEST_F(Loopback, AKilledGatewayLosesWhatItHeldAndServesAfterItsRestart) {
+TEST_F(Loopback, RestartedGatewayServesNewRequestsButNotOldTickets) {
   add_node();
   start();
   const int port = gateway_->port();
   const Client::Ticket old = spawn(client_->ask("SELECT 1", options(5 * kSecond))).get();
-  auto held = send("SELECT 1 /*+ work=20s */", "held", options(10 * kSecond));
+  auto running = send("SELECT 1 /*+ work=20s */", "held", options(10 * kSecond));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 1; }));
-  gateway_.reset();  // breaks everything off
-  EXPECT_NE(held.get().verdict, RequestStatus::kServed);
+  gateway_.reset();  // cancels all requests
+  EXPECT_NE(running.get().verdict, RequestStatus::kServed);
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded) == 1; }));
   config_.listen_address = "127.0.0.1:" + std::to_string(port);
   start();
@@ -386,37 +387,37 @@
   EXPECT_NE(r.status.message.find("another gateway or of this one before its restart"), std::string::npos);
 }
 
-TEST_F(Loopback, FiveThousandRequestsOpenAtOnce) {
-  nodes::NodeConfig roomy;
-  roomy.engine.sessions_per_core = 1e4;
-  add_node(roomy);
-  add_node(roomy);
+TEST_F(Loopback, FiveThousandConcurrentRequests) {
+  nodes::NodeConfig large;
+  large.engine.sessions_per_core = 1e4;
+  add_node(large);
+  add_node(large);
   config_.flight_sql.max_open_requests_per_connection = 6'000;
   start();
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 5'000; ++i)
     all.push_back(send("SELECT 1 /*+ work=20ms */", "m" + std::to_string(i), options(60 * kSecond)));
-  size_t most = 0;
+  size_t max_open = 0;
   int served = 0;
-  int refused = 0;
+  int rejected = 0;
   int failed = 0;
   EXPECT_TRUE(wait_for([&] {
-    most = std::max(most, open_requests());
+    max_open = std::max(max_open, open_requests());
     return recorder_.count(NodeEvent::Kind::kArrived) > 0;
   }));
   for (auto& f : all) {
     const QueryResult r = f.get();
     (r.verdict == RequestStatus::kServed     ? served
-     : r.verdict == RequestStatus::kRejected ? refused
+     : r.verdict == RequestStatus::kRejected ? rejected
                                              : failed) += 1;
   }
-  EXPECT_EQ(served + refused, 5'000);
+  EXPECT_EQ(served + rejected, 5'000);
   EXPECT_EQ(failed, 0);
   EXPECT_TRUE(wait_for([&] { return open_requests() == 0; }));
   EXPECT_EQ(audited(), "");
 }
 
-TEST_F(Loopback, AConnectionMayHoldOnlySoMany) {
+TEST_F(Loopback, OpenRequestsPerConnectionAreLimited) {
   add_node();
   config_.flight_sql.max_open_requests_per_connection = 3;
   start();
@@ -424,8 +425,8 @@
   for (int i = 0; i < 3; ++i)
     all.push_back(send("SELECT 1 /*+ work=500ms */", "c" + std::to_string(i), options(5 * kSecond)));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 3; }));
-  const QueryResult over = send("SELECT 1", "over", options(5 * kSecond)).get();
-  EXPECT_EQ(over.reason, "connection-full");
+  const QueryResult excess = send("SELECT 1", "over", options(5 * kSecond)).get();
+  EXPECT_EQ(excess.reason, "connection-full");
   auto other = open_client();
   EXPECT_EQ(send("SELECT 1", "other", options(5 * kSecond), false, other.get()).get().verdict,
             RequestStatus::kServed);
@@ -449,13 +450,13 @@
     if (r.bodies.size() != 1 || !any.ParseFromString(r.bodies[0]) || !any.UnpackTo(&result)) return "";
     return result.prepared_statement_handle();
   }
-  struct PutEnd {
+  struct PutResult {
     rpc::Status status;
     std::string metadata;
   };
-  // A DoPut of a command with rows of one int64 column.
+  // Calls DoPut with a command and parameter rows of one int64 column.
   template <typename Command>
-  PutEnd put(const Command& command, const std::vector<int64_t>& values) {
+  PutResult put(const Command& command, const std::vector<int64_t>& values) {
     arrowipc::Field field;
     field.name = "p";
     field.type = arrowipc::Type::kInt64;
@@ -474,28 +475,28 @@
     second.set_data_body(message.body);
     return spawn(stream(first.SerializeAsString(), second.SerializeAsString())).get();
   }
-  rpc::Awaitable<PutEnd> stream(std::string first, std::string second) {
+  rpc::Awaitable<PutResult> stream(std::string first, std::string second) {
     const auto call = client_->channel().call("/arrow.flight.protocol.FlightService/DoPut", {}, 5 * kSecond);
     co_await call->write(std::move(first), false);
     co_await call->write(std::move(second), true);
-    PutEnd out;
+    PutResult put_result;
     while (const std::optional<std::string> message = co_await call->read()) {
       flightsql::flight::PutResult result;
-      if (result.ParseFromString(*message)) out.metadata = result.app_metadata();
+      if (result.ParseFromString(*message)) put_result.metadata = result.app_metadata();
     }
     const rpc::CallResult end = co_await call->finish();
-    out.status = end.status;
-    co_return out;
+    put_result.status = end.status;
+    co_return put_result;
   }
 };
 
 TEST_F(PreparedLoopback, BoundValuesReachTheNodeAsLiterals) {
   add_node();
   start();
-  const std::string handle = create("SELECT * FROM gallery /*+ rows=4 */ WHERE id = ?");
+  const std::string handle = create("SELECT * FROM gallery /*+ rows=4 */ Wput_result id = ?");
   flightsql::fsql::CommandPreparedStatementQuery command;
   command.set_prepared_statement_handle(handle);
-  const PutEnd bound = put(command, {48213});
+  const PutResult bound = put(command, {48213});
   ASSERT_TRUE(bound.status.ok()) << bound.status.message;
   const auto info = [&] {
     return spawn([](Client* c,
@@ -503,10 +504,10 @@
              const auto call =
                  c->channel().call("/arrow.flight.protocol.FlightService/GetFlightInfo", {}, 5 * kSecond);
              co_await call->write(std::move(descriptor), true);
-             std::pair<rpc::CallResult, std::string> out;
-             if (const std::optional<std::string> message = co_await call->read()) out.second = *message;
-             out.first = co_await call->finish();
-             co_return out;
+             std::pair<rpc::CallResult, std::string> response;
+             if (const std::optional<std::string> message = co_await call->read()) response.second = *message;
+             response.first = co_await call->finish();
+             co_return response;
            }(client_.get(), flightsql::descriptor_of(command).SerializeAsString()))
         .get();
   };
@@ -518,7 +519,8 @@
       spawn(client_->fetch(flight.endpoint(0).ticket().SerializeAsString(), options(5 * kSecond))).get();
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.rows, 4);
-  EXPECT_EQ(put(command, {1, 2}).status.code, Code::kInvalidArgument);  // one row at most
+  // A query accepts at most one row of parameters.
+  EXPECT_EQ(put(command, {1, 2}).status.code, Code::kInvalidArgument);
   flightsql::fsql::ActionClosePreparedStatementRequest close;
   close.set_prepared_statement_handle(handle);
   EXPECT_TRUE(spawn(client_->action("ClosePreparedStatement", flightsql::pack(close), options(kSecond)))
@@ -527,12 +529,12 @@
   EXPECT_EQ(info().first.status.code, Code::kNotFound);
 }
 
-TEST_F(PreparedLoopback, AnUpdateRunsOnceForEachRow) {
+TEST_F(PreparedLoopback, UpdateRunsOncePerParameterRow) {
   add_node();
   start();
   flightsql::fsql::CommandPreparedStatementUpdate command;
   command.set_prepared_statement_handle(create("UPDATE gallery SET a = ? /*+ rows=2 */"));
-  const PutEnd end = put(command, {5, 6, 7});
+  const PutResult end = put(command, {5, 6, 7});
   ASSERT_TRUE(end.status.ok()) << end.status.message;
   flightsql::fsql::DoPutUpdateResult result;
   ASSERT_TRUE(result.ParseFromString(end.metadata));
@@ -547,11 +549,11 @@
   rpc::Status call(const std::string& method, const std::string& message) {
     return spawn([](Client* c, std::string m, std::string bytes) -> rpc::Awaitable<rpc::Status> {
              co_await c->channel().connect(kSecond);
-             const auto made =
+             const auto call =
                  c->channel().call("/arrow.flight.protocol.FlightService/" + m, {}, 5 * kSecond);
-             co_await made->write(std::move(bytes), true);
-             while (const std::optional<std::string> answer = co_await made->read()) continue;
-             const rpc::CallResult end = co_await made->finish();
+             co_await call->write(std::move(bytes), true);
+             while (const std::optional<std::string> answer = co_await call->read()) continue;
+             const rpc::CallResult end = co_await call->finish();
              co_return end.status;
            }(client_.get(), method, message))
         .get();
@@ -567,7 +569,7 @@
   }
 };
 
-TEST_F(BadInput, IsNamedAndHurtsNobodyElse) {
+TEST_F(BadInput, ErrorNamesCauseAndOtherRequestsAreServed) {
   add_node();
   config_.flight_sql.max_statement_bytes = 1000;
   config_.flight_sql.max_message_bytes = 64 << 10;
@@ -605,16 +607,16 @@
   expect(spawn(client_->action("Fly", "", options(kSecond))).get().status, Code::kUnimplemented,
          "action Fly");
   expect(call("DoPut", ""), Code::kInvalidArgument, "must have a descriptor");
-  // A forged ticket: one byte of a good one changed.
-  const Client::Ticket good = spawn(client_->ask("SELECT 1", options(kSecond))).get();
+  // A ticket with one byte changed.
+  const Client::Ticket valid = spawn(client_->ask("SELECT 1", options(kSecond))).get();
   flightsql::flight::Ticket outer;
   google::protobuf::Any inner;
-  outer.ParseFromString(good.ticket);
+  outer.ParseFromString(valid.ticket);
   inner.ParseFromString(outer.ticket());
   inner.UnpackTo(&handle);
   handle.mutable_statement_handle()->back() ^= 1;
   expect(call("DoGet", ticket_of(flightsql::pack(handle))), Code::kInvalidArgument, "has been changed");
-  // Parameters with a body of the wrong length.
+  // Parameters with an invalid schema header.
   flightsql::flight::FlightData data;
   flightsql::fsql::CommandPreparedStatementUpdate update;
   *data.mutable_flight_descriptor() = flightsql::descriptor_of(update);
@@ -625,7 +627,7 @@
   EXPECT_EQ(open_requests(), 0u);
 }
 
-TEST_F(BadInput, RandomMessagesAreRefused) {
+TEST_F(BadInput, RandomMessagesAreRejected) {
   add_node();
   start();
   std::mt19937 random(5);
@@ -639,16 +641,16 @@
   EXPECT_EQ(send("SELECT 1", "after", options(5 * kSecond)).get().verdict, RequestStatus::kServed);
 }
 
-// gRPC makes a client's timeout longer on the wire, by rounding and by sending an earlier one again; an
-// answer that counts on the time told comes too late.
-TEST_F(Loopback, AGatewayNeverCountsOnMoreTimeThanItsClientHas) {
+// gRPC may send a longer timeout than the client set, by rounding it up or by reusing an earlier one. A
+// server that relies on the received value would respond after the client's deadline.
+TEST_F(Loopback, ServerNeverAssumesLongerTimeoutThanClientSet) {
   rpc::GrpcLoop server_loop(system_.wall, system_.steady);
   std::mutex mutex;
-  std::vector<TimeUs> taken;
+  std::vector<TimeUs> received;
   auto handler = [&](std::shared_ptr<rpc::ServerCall> call) -> rpc::Awaitable<void> {
     {
       const std::lock_guard lock(mutex);
-      taken.push_back(call->client_timeout_us().value_or(-1));
+      received.push_back(call->client_timeout_us().value_or(-1));
     }
     rpc::Status status;
     rpc::Metadata trailers;
@@ -659,25 +661,25 @@
   server_options.address = "127.0.0.1:0";
   rpc::GrpcServer server(server_options, server_loop, handler);
   client_ = std::make_unique<Client>(channels_->open("127.0.0.1:" + std::to_string(server.port())), *loop_);
-  const std::vector<TimeUs> allowed = {123'400,     1'001'000, 2'401'000, 9'991'000, 12'301'000,
-                                       100'001'000, 2'869'000, 2'797'000, 7'630'000, 7'412'000};
-  for (const TimeUs us : allowed) spawn(client_->ask("SELECT 1", options(us))).get();
-  const auto taken_so_far = [&] {
+  const std::vector<TimeUs> timeouts = {123'400,     1'001'000, 2'401'000, 9'991'000, 12'301'000,
+                                        100'001'000, 2'869'000, 2'797'000, 7'630'000, 7'412'000};
+  for (const TimeUs us : timeouts) spawn(client_->ask("SELECT 1", options(us))).get();
+  const auto received_so_far = [&] {
     const std::lock_guard lock(mutex);
-    return taken;
+    return received;
   };
-  const std::vector<TimeUs> seen = taken_so_far();
-  ASSERT_EQ(seen.size(), allowed.size());
-  for (size_t i = 0; i < seen.size(); ++i) {
-    EXPECT_LE(seen[i], allowed[i]);
-    EXPECT_GT(seen[i], allowed[i] / 2);  // it is known at all
+  const std::vector<TimeUs> timeouts_received = received_so_far();
+  ASSERT_EQ(timeouts_received.size(), timeouts.size());
+  for (size_t i = 0; i < timeouts_received.size(); ++i) {
+    EXPECT_LE(timeouts_received[i], timeouts[i]);
+    EXPECT_GT(timeouts_received[i], timeouts[i] / 2);  // a timeout was received
   }
   spawn(client_->ask("SELECT 1", options(0))).get();
   server_loop.post_and_wait([] {});
-  EXPECT_EQ(taken_so_far().back(), -1);
+  EXPECT_EQ(received_so_far().back(), -1);
 }
 
-TEST_F(Loopback, APortInUseIsAnError) {
+TEST_F(Loopback, PortInUseIsAnError) {
   add_node();
   start();
   config_.listen_address = "127.0.0.1:" + std::to_string(gateway_->port());
--- a/tests/sql_table_group_test.cpp
+++ b/tests/sql_table_group_test.cpp
@@ -1,4 +1,4 @@
-// Table groups that statements name.
+// Derivation of table groups from statements.
 #include <gtest/gtest.h>
 
 #include "sql/table_group.h"
@@ -6,7 +6,7 @@
 namespace sablelink::test {
 namespace {
 
-TEST(PlatformSql, TheGroupIsTheSchemasNumber) {
+TEST(PlatformSql, GroupIsNumberInSchemaName) {
   using sql::table_group;
   EXPECT_EQ(table_group("SELECT day FROM sales_17.orders WHERE tag = 'x_9.y'"), 17);
   EXPECT_EQ(table_group("/* a_1.b */ SELECT 1 -- c_2.d\n FROM \"sales_8\".\"orders\""), 8);
--- a/tests/sql_test.cpp
+++ b/tests/sql_test.cpp
@@ -1,4 +1,4 @@
-// The statement reader: kinds, tables, parameters, and whatever it can't understand.
+// Lexical analysis of statements: kinds, tables, parameters, and arbitrary text.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -9,7 +9,7 @@
 
 using Tables = std::vector<std::string>;
 
-TEST(Sql, KindsByTheLeadingWord) {
+TEST(Sql, KindFollowsFromLeadingWord) {
   EXPECT_EQ(inspect("select 1").kind, StatementKind::kQuery);
   EXPECT_EQ(inspect("  -- note\n /* more /* nested */ */ SELECT 1").kind, StatementKind::kQuery);
   EXPECT_EQ(inspect("((SELECT 1))").kind, StatementKind::kQuery);
@@ -24,7 +24,7 @@
   EXPECT_FALSE(inspect("SELECT 1").writes);
 }
 
-TEST(Sql, TablesInOrderOfAppearance) {
+TEST(Sql, TablesAreInOrderOfAppearance) {
   EXPECT_EQ(inspect("SELECT * FROM Gallery g JOIN main.Photo p ON g.id = p.id").tables,
             (Tables{"gallery", "main.photo"}));
   EXPECT_EQ(inspect("SELECT * FROM a, b AS x, c y, d WHERE 1").tables, (Tables{"a", "b", "c", "d"}));
@@ -43,15 +43,15 @@
   EXPECT_THROW(substitute("SELECT 1", {"1"}), ParameterCountError);
 }
 
-TEST(Sql, QuotedTextStaysOneLiteral) {
-  const std::string evil = "x' OR 1=1 --";
-  const std::string statement = substitute("SELECT * FROM t WHERE n = ?", {quote(evil)});
+TEST(Sql, QuotedTextIsOneLiteral) {
+  const std::string injection = "x' OR 1=1 --";
+  const std::string statement = substitute("SELECT * FROM t WHERE n = ?", {quote(injection)});
   const std::vector<Token> tokens = tokenize(statement);
   EXPECT_EQ(tokens.back().kind, TokenKind::kString);
   EXPECT_EQ(tokens.back().text, "'x'' OR 1=1 --'");
 }
 
-RC_GTEST_PROP(Sql, AnyTextIsReadToItsEnd, (const std::string& text)) {
+RC_GTEST_PROP(Sql, AnyTextIsTokenizedCompletely, (const std::string& text)) {
   size_t at = 0;
   for (const Token& t : tokenize(text)) {
     RC_ASSERT(t.at >= at);
@@ -64,8 +64,8 @@
   RC_ASSERT(substitute(text, std::vector<std::string>(count_parameters(text), "?")) == text);
 }
 
-// Texts made of the signs that matter reach further than random ones.
-RC_GTEST_PROP(Sql, TextsOfQuotesAndSignsAreReadToTheirEnd, ()) {
+// Texts composed of significant tokens reach more branches than random texts.
+RC_GTEST_PROP(Sql, TextsOfSignificantTokensAreTokenizedCompletely, ()) {
   const auto piece =
       rc::gen::element<std::string>("'", "\"", "`", "$", "$a$", "/*", "*/", "--", "\n", "?", "e'", "\\",
                                     "from", "with", "as", "(", ")", ",", ".", "1e", " ", "t");
