--- a/tests/interop/flightsql.test.js
+++ b/tests/interop/flightsql.test.js
@@ -1,6 +1,6 @@
-// Thousands of queries through @gizmodata/gizmosql-client: each gets exactly one final answer, and the nodes'
-// records show that no request was worked on twice at once. The gateway and its nodes are this project's
-// programs, started here on loopback. SABLELINK names the program.
+// Sends thousands of queries through @gizmodata/gizmosql-client. Each must get exactly one final response, and the
+// nodes' records must show that no request had concurrent attempts. The test starts the gateway and the stand-in nodes
+// on loopback, from the program whose path is in the environment variable SABLELINK.
 'use strict';
 
 const { test, before, after } = require('node:test');
@@ -87,8 +87,8 @@
 
 const ANSWER_MS = 30000;
 
-// An answer, or the word that none came. A promise settles once, so a second answer is looked for in the nodes'
-// records instead, by the last test.
+// Returns the result of a query, its error, or that there was no response in time. A promise settles only once and so
+// can't show a second response; the last test checks the nodes' records for that instead.
 function answerOf(work) {
   let timer;
   const late = new Promise((resolve) => {
@@ -101,7 +101,7 @@
   return Promise.race([answered, late]).finally(() => clearTimeout(timer));
 }
 
-// What a stand-in answers follows from the statement alone (src/nodes/content.h): every row is looked at.
+// The statement alone determines the result of a stand-in node (src/nodes/content.h), so every row is compared.
 function checkAnswer(table, statement, rows) {
   assert.strictEqual(table.numRows, rows, statement);
   const begun = zlib.crc32(`${statement}#`);
