--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -89,7 +89,8 @@
   start();
   for (int i = 0; i < 20; ++i)
     send("SELECT 1 /*+ work=50ms */", "w" + std::to_string(i), options(5 * kSecond)).get();
-  // Every attempt fails after 60 ms, so that the cancellation comes during some attempts and between others.
+  // Every attempt fails after 60 ms, so the cancellation finds some requests in an attempt and others before
+  // a retry.
   std::vector<std::unique_ptr<Client>> clients;
   std::vector<std::future<QueryResult>> all;
   for (int i = 0; i < 10; ++i) {
