--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -38,13 +38,13 @@
 
 constexpr const char* kStatement = "SELECT * FROM gallery /*+ work=1us rows=5 */";
 
-struct Measurement {
+struct Stats {
   double per_second = 0, p50_us = 0, p99_us = 0;
   uint64_t served = 0, not_served = 0;
 };
 
-Measurement summarize(std::vector<TimeUs> latencies, uint64_t not_served, TimeUs duration) {
-  Measurement f;
+Stats summarize(std::vector<TimeUs> latencies, uint64_t not_served, TimeUs duration) {
+  Stats f;
   f.served = latencies.size();
   f.not_served = not_served;
   if (latencies.empty()) return f;
@@ -75,7 +75,7 @@
   // Sends queries with exponentially distributed gaps, independently of responses. The latency of a query
   // starts when this thread posts it, not at its planned time: sleep_for() overshoots by about 60 us, which
   // isn't the server's latency.
-  Measurement open_loop(double rate, TimeUs duration) {
+  Stats open_loop(double rate, TimeUs duration) {
     std::mt19937_64 random(3);
     std::exponential_distribution<double> gap(rate / 1e6);
     double at = 0;
@@ -94,7 +94,7 @@
   }
 
   // Keeps `width` queries in flight at all times.
-  Measurement closed_loop(int width, TimeUs duration) {
+  Stats closed_loop(int width, TimeUs duration) {
     const TimeUs begin = loop_.now();
     deadline_ = begin + duration;
     in_flight_ = width;
@@ -106,7 +106,7 @@
   }
 
   // Requests tickets one after the other, the i-th for statement(i), without fetching results.
-  Measurement measure_tickets(int count, std::function<std::string(int)> statement) {
+  Stats measure_tickets(int count, std::function<std::string(int)> statement) {
     const TimeUs begin = loop_.now();
     in_flight_ = 1;
     loop_.post([this, count, statement = std::move(statement)] {
@@ -218,7 +218,7 @@
   return (user + system) * 1e6 / static_cast<double>(::sysconf(_SC_CLK_TCK));
 }
 
-void print(const char* name, const Measurement& f) {
+void print(const char* name, const Stats& f) {
   std::printf("%-28s %9.0f /s   p50 %8.0f us   p99 %8.0f us   served %llu, other %llu\n", name, f.per_second,
               f.p50_us, f.p99_us, static_cast<unsigned long long>(f.served),
               static_cast<unsigned long long>(f.not_served));
@@ -246,7 +246,7 @@
 
 // Reads 200 MB at 1 MB/s, in messages of 64 KiB.
 void measure_large(const service::System& system, const Process& gateway, const std::string& endpoint) {
-  const Measurement alone = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
+  const Stats alone = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
   const long before = resident_kib(gateway.pid());
   LoadGenerator reader(system, endpoint, 1);
   const auto progress = std::make_shared<LoadGenerator::ReadProgress>();
@@ -254,7 +254,7 @@
   reader.start_read(
       "SELECT label FROM gallery /*+ rows=" + std::to_string(kRows) + " row_bytes=65536 work=1ms */", 65'536,
       progress);
-  const Measurement concurrent = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
+  const Stats concurrent = LoadGenerator(system, endpoint, 2).warmed_up().open_loop(50, 20'000'000);
   long max_kib = 0;
   while (!progress->finished) {
     max_kib = std::max(max_kib, resident_kib(gateway.pid()));
@@ -315,15 +315,15 @@
   const auto narrow_process = start("gateway", gateway_file("small", narrow, 4));
 
   const auto duration = static_cast<TimeUs>(seconds * 1e6);
-  const auto open_loop_at = [&](const std::string& endpoint) {
+  const auto run_open = [&](const std::string& endpoint) {
     return LoadGenerator(system, endpoint, 4).warmed_up().open_loop(rate, duration);
   };
-  const auto closed_loop_at = [&](const std::string& endpoint) {
+  const auto run_closed = [&](const std::string& endpoint) {
     return LoadGenerator(system, endpoint, 4).warmed_up().closed_loop(width, duration);
   };
-  const auto measure_cpu = [&](const char* name, const Process& process, const auto& load) {
+  const auto profile = [&](const char* name, const Process& process, const auto& load) {
     const double before = cpu_us(process.pid());
-    const Measurement f = load();
+    const Stats f = load();
     print(name, f);
     std::printf("  %26s %9.0f us of a core a query\n", "",
                 (cpu_us(process.pid()) - before) / static_cast<double>(f.served));
@@ -331,34 +331,30 @@
   };
   std::printf("%u cores; %.0f s each; statement: %s\n", std::thread::hardware_concurrency(), seconds,
               kStatement);
-  closed_loop_at(gateway);  // warms up the gateway and the node
+  run_closed(gateway);  // warms up the gateway and the node
   std::printf("open loop, %.0f queries/s:\n", rate);
-  const Measurement direct = measure_cpu("  direct", *node_process, [&] { return open_loop_at(node); });
-  const Measurement through =
-      measure_cpu("  through the gateway", *gateway_process, [&] { return open_loop_at(gateway); });
+  const Stats direct = profile("  direct", *node_process, [&] { return run_open(node); });
+  const Stats through = profile("  through the gateway", *gateway_process, [&] { return run_open(gateway); });
   std::printf("  added p50 %.0f us, p99 %.0f us; ratios %.2f, %.2f\n", through.p50_us - direct.p50_us,
               through.p99_us - direct.p99_us, through.p50_us / direct.p50_us, through.p99_us / direct.p99_us);
   std::printf("closed loop, %d out at all times:\n", width);
-  const Measurement direct_closed =
-      measure_cpu("  direct", *node_process, [&] { return closed_loop_at(node); });
-  const Measurement through_closed =
-      measure_cpu("  through the gateway", *gateway_process, [&] { return closed_loop_at(gateway); });
+  const Stats direct_closed = profile("  direct", *node_process, [&] { return run_closed(node); });
+  const Stats through_closed =
+      profile("  through the gateway", *gateway_process, [&] { return run_closed(gateway); });
   std::printf("  throughput ratio %.2f\n", through_closed.per_second / direct_closed.per_second);
 
-  constexpr int kQueriesInFlight = 5'000;
-  // The gateway configured with 1000 cores sends all of these queries to the node; the one with 4 cores
-  // queues nearly all of them.
+  constexpr int kInFlight = 5'000;
+  // The gateway with 1000 cores sends all of these to the node; the one with 4 cores queues nearly all.
   std::vector<std::unique_ptr<LoadGenerator>> generators;
   const auto measure_memory = [&](const char* name, const Process& process, const std::string& endpoint) {
     LoadGenerator(system, endpoint, 4).warmed_up();
     const long before = resident_kib(process.pid());
     generators.push_back(std::make_unique<LoadGenerator>(system, endpoint, 4));
-    generators.back()->send_hanging(kQueriesInFlight, "SELECT 1 /*+ mishap=hang */");
+    generators.back()->send_hanging(kInFlight, "SELECT 1 /*+ mishap=hang */");
     std::this_thread::sleep_for(std::chrono::seconds(3));
     const long after = resident_kib(process.pid());
-    std::printf("memory, %d requests open, %s: %ld KiB before, %ld KiB then, %.1f KiB each\n",
-                kQueriesInFlight, name, before, after,
-                static_cast<double>(after - before) / kQueriesInFlight);
+    std::printf("memory, %d requests open, %s: %ld KiB before, %ld KiB then, %.1f KiB each\n", kInFlight,
+                name, before, after, static_cast<double>(after - before) / kInFlight);
   };
   measure_memory("all at the node", *gateway_process, gateway);
   measure_memory("waiting in the gateway", *narrow_process, narrow);
