--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -494,7 +494,7 @@
 TEST_F(PreparedLoopback, BoundValuesReachTheNodeAsLiterals) {
   add_node();
   start();
-  const std::string handle = create("SELECT * FROM gallery /*+ rows=4 */ Wput_result id = ?");
+  const std::string handle = create("SELECT * FROM gallery /*+ rows=4 */ WHERE id = ?");
   flightsql::fsql::CommandPreparedStatementQuery command;
   command.set_prepared_statement_handle(handle);
   const PutResult bound = put(command, {48213});
