--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -161,7 +161,7 @@
       options.timeout_us = 20'000'000;
       std::string sql = statement(i);
       const TimeUs sent_at = loop_.now();
-      const Client::Ticket ticket = co_await clients_[0]->ask(std::move(sql), std::move(options));
+      const Client::Ticket ticket = co_await clients_[0]->get_ticket(std::move(sql), std::move(options));
       if (ticket.status.ok())
         latencies_.push_back(loop_.now() - sent_at);
       else
@@ -172,7 +172,7 @@
   rpc::Awaitable<void> read_slowly(std::string sql, TimeUs interval, std::shared_ptr<ReadProgress> out) {
     flightsql::ClientOptions options;
     options.timeout_us = 1'000'000'000;
-    options.read_every_us = interval;
+    options.read_delay_us = interval;
     const flightsql::QueryResult r =
         co_await clients_[0]->query(std::move(sql), std::move(options),
                                     [out](const auto&, const auto& batch) { out->rows += batch.rows; });
--- a/src/cli/badday.cpp
+++ b/src/cli/badday.cpp
@@ -79,7 +79,7 @@
     std::fprintf(stderr, "sablelink: the fault-injection run itself failed: %s\n", result.trouble.c_str());
     return kError;
   }
-  if (const int rule = result.report.untouched_rule(); rule != 0) {
+  if (const int rule = result.report.rule_never_at_stake(); rule != 0) {
     std::fprintf(stderr, "sablelink: the script never exercised rule %d, so the run doesn't verify it\n",
                  rule);
     return kError;
--- a/src/cli/query.cpp
+++ b/src/cli/query.cpp
@@ -124,7 +124,7 @@
     return result.verdict == dispatch::RequestStatus::kRejected ? kRejected : kFailed;
   }
   if (options.update) {
-    std::printf("%" PRId64 " rows changed\n", result.updated);
+    std::printf("%" PRId64 " rows changed\n", result.updated_rows);
   } else if (!options.json) {
     print_table(result.schema, result.batches);
   }
--- a/src/cli/simulate.cpp
+++ b/src/cli/simulate.cpp
@@ -35,10 +35,10 @@
 
 // ---- Arguments
 
-sim::Defect parse_defect(const std::string& name) {
-  for (int i = 0; i < sim::kDefects; ++i) {
-    const auto defect = static_cast<sim::Defect>(i);
-    if (name == sim::defect_name(defect)) return defect;
+sim::Mutation parse_defect(const std::string& name) {
+  for (int i = 0; i < sim::kMutations; ++i) {
+    const auto mutation = static_cast<sim::Mutation>(i);
+    if (name == sim::mutation_name(mutation)) return mutation;
   }
   throw CommandError("--defect '" + name + "' is unknown");
 }
@@ -124,7 +124,7 @@
   if (printed < findings.size()) std::printf("  ... and %zu more\n", findings.size() - printed);
 }
 
-std::string format_ends(const sim::Ends& ends) {
+std::string format_ends(const sim::EndCounts& ends) {
   constexpr const char* kEndNames[audit::ClientRecord::kEnds] = {"served",     "refused", "failed",
                                                                  "unanswered", "left",    "out of reach"};
   std::string text;
@@ -138,28 +138,27 @@
 void print_run(const Scenario& scenario, const RunResult& result) {
   std::printf("%s: %zu requests, %zu troubles: %s; attempts %" PRIu64 ", further ones %" PRIu64 "; %" PRIu64
               " steps, digest %016" PRIx64 "\n",
-              scenario.name.c_str(), scenario.requests.size(), scenario.troubles.size(),
-              format_ends(result.ends).c_str(), result.attempts, result.further_attempts, result.steps,
-              result.digest);
+              scenario.name.c_str(), scenario.requests.size(), scenario.faults.size(),
+              format_ends(result.ends).c_str(), result.attempts, result.retries, result.steps, result.digest);
   print_findings(result.findings);
 }
 
-void print_coverage(const sim::Pairs& pairs) {
+void print_coverage(const sim::FaultPairs& pairs) {
   std::printf("\ntroubles met (their number in all worlds) and pairs that overlapped:\n");
   size_t overlapping_pairs = 0;
   size_t total_pairs = 0;
   std::string missing_pairs;
-  for (int a = 0; a < sim::kTroubles; ++a) {
-    const std::string name_a = sim::trouble_name(static_cast<sim::Trouble>(a));
+  for (int a = 0; a < sim::kFaultKinds; ++a) {
+    const std::string name_a = sim::fault_name(static_cast<sim::FaultKind>(a));
     uint64_t pairs_with_a = 0;
-    for (int b = 0; b < sim::kTroubles; ++b) pairs_with_a += pairs[std::min(a, b)][std::max(a, b)];
+    for (int b = 0; b < sim::kFaultKinds; ++b) pairs_with_a += pairs[std::min(a, b)][std::max(a, b)];
     std::printf("  %-16s in %" PRIu64 " pairs\n", name_a.c_str(), pairs_with_a);
-    for (int b = a; b < sim::kTroubles; ++b) {
+    for (int b = a; b < sim::kFaultKinds; ++b) {
       ++total_pairs;
       if (pairs[a][b] > 0) {
         ++overlapping_pairs;
       } else {
-        missing_pairs += "  " + name_a + " with " + sim::trouble_name(static_cast<sim::Trouble>(b)) + "\n";
+        missing_pairs += "  " + name_a + " with " + sim::fault_name(static_cast<sim::FaultKind>(b)) + "\n";
       }
     }
   }
@@ -175,7 +174,7 @@
   if (options.shrink) {
     exported = sim::shrink(scenario, run_options, result.findings.front().rule, options.max_shrink_runs);
     std::printf("cut down to %zu requests and %zu troubles:\n", exported.requests.size(),
-                exported.troubles.size());
+                exported.faults.size());
     if (options.corpus_folder.empty()) std::fputs(sim::to_toml(exported).c_str(), stdout);
   }
   if (options.corpus_folder.empty()) return;
@@ -195,15 +194,15 @@
   // Thread-safe.
   void add(uint64_t index, const Scenario& scenario, RunResult result) {
     const std::lock_guard lock(mutex_);
-    sim::count_pairs(scenario, &fault_pairs_);
+    sim::count_fault_pairs(scenario, &fault_pairs_);
     sum_.steps += result.steps;
     sum_.simulated_us += result.simulated_us;
     sum_.attempts += result.attempts;
-    sum_.further_attempts += result.further_attempts;
-    sum_.plans += result.plans;
-    sum_.streams += result.streams;
-    sum_.bound_reached += result.bound_reached;
-    sum_.left_unread += result.left_unread;
+    sum_.retries += result.retries;
+    sum_.planning_calls += result.planning_calls;
+    sum_.streamed_responses += result.streamed_responses;
+    sum_.buffer_limit_reached += result.buffer_limit_reached;
+    sum_.cancelled_unread += result.cancelled_unread;
     sum_.ends += result.ends;
     sum_.counts += result.counts;
     digest_ += result.digest * (2 * index + 1);  // the sum doesn't depend on the order of the calls
@@ -215,11 +214,11 @@
     const double simulated_s = sum_.simulated_us / 1e6;
     std::printf("\n%" PRIu64 " worlds, digest %016" PRIx64 ": %s; attempts %" PRIu64 ", further ones %" PRIu64
                 "; planning calls %" PRIu64 "\n",
-                scenarios, digest_, format_ends(sum_.ends).c_str(), sum_.attempts, sum_.further_attempts,
-                sum_.plans);
+                scenarios, digest_, format_ends(sum_.ends).c_str(), sum_.attempts, sum_.retries,
+                sum_.planning_calls);
     std::printf("answers that flowed %" PRIu64 ", %" PRIu64
                 " of them by the total bound; clients that left unread bytes %" PRIu64 "\n",
-                sum_.streams, sum_.bound_reached, sum_.left_unread);
+                sum_.streamed_responses, sum_.buffer_limit_reached, sum_.cancelled_unread);
     std::fputs(audit::render_rules(sum_.findings, sum_.counts).c_str(), stdout);
     std::printf("%.1f s simulated in %.2f s on %d threads (%.0f times), %" PRIu64 " steps\n", simulated_s,
                 elapsed_s, jobs, simulated_s / elapsed_s, sum_.steps);
@@ -232,19 +231,19 @@
 
   // The failed scenarios' results, by scenario index.
   const std::map<uint64_t, RunResult>& failures() const { return failures_; }
-  const sim::Pairs& fault_pairs() const { return fault_pairs_; }
+  const sim::FaultPairs& fault_pairs() const { return fault_pairs_; }
 
  private:
   std::mutex mutex_;
   std::map<uint64_t, RunResult> failures_;
-  sim::Pairs fault_pairs_{};
+  sim::FaultPairs fault_pairs_{};
   RunResult sum_;
   uint64_t digest_ = 0;
 };
 
 int run_one(const Scenario& scenario, const RunOptions& run_options, const SimulateOptions& options) {
   const RunResult result = sim::run(scenario, run_options);
-  if (options.trace) std::fputs(result.account.c_str(), stdout);
+  if (options.trace) std::fputs(result.event_log.c_str(), stdout);
   print_run(scenario, result);
   if (result.findings.empty()) return kSuccess;
   if (options.shrink) export_failure(scenario, run_options, result, options);
@@ -295,8 +294,8 @@
 
 int run_simulate(const SimulateOptions& options) {
   RunOptions run_options;
-  run_options.defect = parse_defect(options.defect);
-  run_options.keep_account = options.trace;
+  run_options.mutation = parse_defect(options.defect);
+  run_options.keep_event_log = options.trace;
   const ScenarioList scenarios(options);
   if (scenarios.size() == 1) return run_one(scenarios.at(0), run_options, options);
   return run_many(scenarios, run_options, options);
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -23,7 +23,7 @@
 #include "arrowipc/ipc.h"
 #include "config/gateway_config.h"
 #include "flightsql/catalog.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "flightsql/tickets.h"
 #include "http/reader.h"
 #include "nodes/content.h"
@@ -195,9 +195,9 @@
 }
 
 void terms_target(const std::string& bytes) {
-  const flightsql::NodeReport report = flightsql::decode_report(bytes);
+  const flightsql::NodeReport report = flightsql::decode_load_report(bytes);
   if (report.work_us) check(*report.work_us >= 0, "negative work");
-  if (report.used_mb) check(*report.used_mb >= 0, "negative memory");
+  if (report.memory_used_mb) check(*report.memory_used_mb >= 0, "negative memory");
   rpc::CallResult end;
   end.status = {rpc::Code::kUnavailable, "m", bytes};
   end.trailers.emplace_back(std::string(flightsql::kLoadReportKey), bytes);
@@ -216,7 +216,7 @@
   for (size_t at = 0; at < bytes.size(); at += step) {
     auto state = reader.feed(std::string_view(bytes).substr(at, step));
     while (state == http::ParseStatus::kComplete) {
-      result += text(reader.take()) + "\n";
+      result += text(reader.take_message()) + "\n";
       state = reader.feed({});
     }
     check(reader.buffered_bytes() <= bytes.size(), "more bytes are buffered than were fed");
@@ -235,7 +235,7 @@
   const auto request = [&](const http::Request& r) {
     check(r.body.size() <= 256, "a body exceeds its limit");
     platform::HttpServerOptions options;
-    options.classes = {"lookup"};
+    options.class_names = {"lookup"};
     options.max_timeout_us = {5'000'000};
     const auto parsed = platform::parse_client_request(r, options);
     if (const auto* valid = std::get_if<platform::ClientRequest>(&parsed))
@@ -307,13 +307,13 @@
          check(content.schema().fields.size() >= 1, "a statement has no columns");
        }});
 
-  static flightsql::TicketOffice ticket_office(1, 2);
+  static flightsql::TicketIssuer ticket_office(1, 2);
   all.push_back({"ticket",
                  {ticket_office.issue("SELECT 1"), ticket_office.issue(std::string(300, 's'))},
                  {},
                  [](const std::string& bytes) {
                    const flightsql::OpenedTicket t = ticket_office.open(bytes);
-                   if (t.fault != flightsql::TicketFault::kNone) return;
+                   if (t.error != flightsql::TicketError::kNone) return;
                    check(t.statement == "SELECT 1" || t.statement == std::string(300, 's'),
                          "a modified ticket is accepted");
                  }});
@@ -321,9 +321,9 @@
   flightsql::NodeReport report;
   report.load.emplace();
   report.work_us = 12.5;
-  report.used_mb = 3;
+  report.memory_used_mb = 3;
   all.push_back({"terms",
-                 {flightsql::encode_report(report),
+                 {flightsql::encode_load_report(report),
                   flightsql::make_error(rpc::Code::kUnavailable, "full", flightsql::kNodeDomain,
                                         flightsql::kNotAdmitted, 250'000)
                       .details},
@@ -353,7 +353,7 @@
        {"\t", "\n", ";", ":", "_", ".", "\"", "'", "1e400", "\xf0\x9f"},
        [](const std::string& text) {
          if (const auto rows = platform::page_to_json_rows(text)) {
-           check(platform::is_plain_text(*rows), "rows aren't valid text");
+           check(platform::is_valid_text(*rows), "rows aren't valid text");
            check(std::count(text.begin(), text.end(), '\n') <= std::count(rows->begin(), rows->end(), '['),
                  "a row is missing");
          }
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -15,7 +15,7 @@
 #include "audit/auditor.h"
 #include "flightsql/client.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "rpc/grpc_client.h"
 #include "service/gateway_service.h"
 #include "service/node_service.h"
@@ -173,16 +173,16 @@
       if (key == "x-class") r.cls = config_.class_index(value);
       if (key == "x-order-key") r.key = value;
     }
-    o.cancel = cancel_;
-    r.asked_at = wall();
-    r.due_at = r.asked_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
+    o.canceller = cancel_;
+    r.started_at = wall();
+    r.deadline = r.started_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
     QueryResult result;
     if (update)
       result = co_await client->update(std::move(sql), std::move(o));
     else
       result = co_await client->query(std::move(sql), std::move(o));
     r.ended_at = wall();
-    r.answers = 1;
+    r.responses = 1;
     r.end = audit::end_of(result.verdict);
     const std::lock_guard lock(mutex_);
     records_.clients.push_back(r);
@@ -238,7 +238,7 @@
   std::vector<std::unique_ptr<service::NodeService>> nodes_;
   std::unique_ptr<service::GatewayService> gateway_;
   std::unique_ptr<Client> client_;
-  std::shared_ptr<flightsql::Canceller> cancel_ = std::make_shared<flightsql::Canceller>();
+  std::shared_ptr<flightsql::CallCanceller> cancel_ = std::make_shared<flightsql::CallCanceller>();
   std::mutex mutex_;
   audit::Records records_;
 };
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -25,7 +25,7 @@
   start();
   const QueryResult r = send("UPDATE gallery SET a = 1 /*+ rows=7 */", "a", options(5 * kSecond), true).get();
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
-  EXPECT_EQ(r.updated, 7);
+  EXPECT_EQ(r.updated_rows, 7);
 }
 
 TEST_F(Loopback, LostResponseIsRetriedAfterItsAttemptEnds) {
@@ -251,7 +251,7 @@
   changed.engines[2].state = EndpointState::kDraining;
   {
     const std::lock_guard lock(mutex_);
-    records_.told.push_back({"g", "n2", wall()});
+    records_.unavailable.push_back({"g", "n2", wall()});
   }
   gateway_->reload(changed);
   for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
@@ -318,7 +318,7 @@
 TEST_F(Loopback, SecondDoGetOfOneTicketIsServed) {
   add_node();
   start();
-  const Client::Ticket ticket = spawn(client_->ask("SELECT 1", options(5 * kSecond))).get();
+  const Client::Ticket ticket = spawn(client_->get_ticket("SELECT 1", options(5 * kSecond))).get();
   ASSERT_TRUE(ticket.status.ok());
   EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, RequestStatus::kServed);
   EXPECT_EQ(spawn(client_->fetch(ticket.ticket, options(5 * kSecond))).get().verdict, RequestStatus::kServed);
@@ -327,14 +327,15 @@
 TEST_F(Loopback, GetFlightInfoDoesNoEngineWork) {
   add_node();
   start();
-  ASSERT_TRUE(spawn(client_->ask("SELECT 1", options(5 * kSecond))).get().status.ok());
+  ASSERT_TRUE(spawn(client_->get_ticket("SELECT 1", options(5 * kSecond))).get().status.ok());
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived), 0u);
 }
 
 TEST_F(Loopback, CancellationEndsQueryAndItsAttempt) {
   add_node();
   start();
-  const Client::Ticket ticket = spawn(client_->ask("SELECT 1 /*+ work=60s */", options(30 * kSecond))).get();
+  const Client::Ticket ticket =
+      spawn(client_->get_ticket("SELECT 1 /*+ work=60s */", options(30 * kSecond))).get();
   auto running = spawn(client_->fetch(ticket.ticket, options(30 * kSecond)));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 1; }));
   flightsql::flight::CancelFlightInfoRequest request;
@@ -374,7 +375,7 @@
   add_node();
   start();
   const int port = gateway_->port();
-  const Client::Ticket old = spawn(client_->ask("SELECT 1", options(5 * kSecond))).get();
+  const Client::Ticket old = spawn(client_->get_ticket("SELECT 1", options(5 * kSecond))).get();
   auto running = send("SELECT 1 /*+ work=20s */", "held", options(10 * kSecond));
   ASSERT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kArrived) == 1; }));
   gateway_.reset();  // cancels all requests
@@ -600,16 +601,16 @@
   handle.set_statement_handle("SELECT 1");
   expect(call("DoGet", ticket_of(flightsql::pack(handle))), Code::kInvalidArgument,
          "none that a gateway gives out");
-  expect(spawn(client_->ask(std::string(1001, 'x'), options(kSecond))).get().status, Code::kInvalidArgument,
-         "the statement has 1001 bytes; 1000 are allowed");
-  expect(spawn(client_->ask("", options(kSecond))).get().status, Code::kInvalidArgument,
+  expect(spawn(client_->get_ticket(std::string(1001, 'x'), options(kSecond))).get().status,
+         Code::kInvalidArgument, "the statement has 1001 bytes; 1000 are allowed");
+  expect(spawn(client_->get_ticket("", options(kSecond))).get().status, Code::kInvalidArgument,
          "the statement is empty");
   EXPECT_EQ(call("GetFlightInfo", std::string(100 << 10, 'x')).code, Code::kResourceExhausted);
   expect(spawn(client_->action("Fly", "", options(kSecond))).get().status, Code::kUnimplemented,
          "action Fly");
   expect(call("DoPut", ""), Code::kInvalidArgument, "must have a descriptor");
   // A ticket with one byte changed.
-  const Client::Ticket valid = spawn(client_->ask("SELECT 1", options(kSecond))).get();
+  const Client::Ticket valid = spawn(client_->get_ticket("SELECT 1", options(kSecond))).get();
   flightsql::flight::Ticket outer;
   google::protobuf::Any inner;
   outer.ParseFromString(valid.ticket);
@@ -664,7 +665,7 @@
   client_ = std::make_unique<Client>(channels_->open("127.0.0.1:" + std::to_string(server.port())), *loop_);
   const std::vector<TimeUs> timeouts = {123'400,     1'001'000, 2'401'000, 9'991'000, 12'301'000,
                                         100'001'000, 2'869'000, 2'797'000, 7'630'000, 7'412'000};
-  for (const TimeUs us : timeouts) spawn(client_->ask("SELECT 1", options(us))).get();
+  for (const TimeUs us : timeouts) spawn(client_->get_ticket("SELECT 1", options(us))).get();
   const auto received_so_far = [&] {
     const std::lock_guard lock(mutex);
     return received;
@@ -675,7 +676,7 @@
     EXPECT_LE(timeouts_received[i], timeouts[i]);
     EXPECT_GT(timeouts_received[i], timeouts[i] / 2);  // a timeout was received
   }
-  spawn(client_->ask("SELECT 1", options(0))).get();
+  spawn(client_->get_ticket("SELECT 1", options(0))).get();
   server_loop.post_and_wait([] {});
   EXPECT_EQ(received_so_far().back(), -1);
 }
