--- a/src/badday/script.cpp
+++ b/src/badday/script.cpp
@@ -55,15 +55,15 @@
   }
   if (e.kind == Kind::kBurst || e.kind == Kind::kFault) e.value = s.number("value", 0, 1000, 1);
   if (e.kind == Kind::kFault) {
-    e.fault = s.one_of<nodes::FaultKind>("fault", nodes::fault_words(), std::nullopt);
+    e.fault = s.one_of<nodes::FaultKind>("fault", nodes::fault_kind_names(), std::nullopt);
   }
   s.reject_unknown_keys();
   return e;
 }
 
 const std::string& fault_name(nodes::FaultKind kind) {
-  const auto& words = nodes::fault_words();
-  return std::find_if(words.begin(), words.end(), [kind](const auto& w) { return w.second == kind; })->first;
+  const auto& names = nodes::fault_kind_names();
+  return std::find_if(names.begin(), names.end(), [kind](const auto& w) { return w.second == kind; })->first;
 }
 
 std::string us(TimeUs value) { return "\"" + std::to_string(value) + "us\""; }
--- a/src/nodes/content.h
+++ b/src/nodes/content.h
@@ -1,11 +1,11 @@
-// What a stand-in node answers to a statement, and the check that an answer read is that, whole. Both follow
-// from the statement's text alone: every row's values are drawn from it and the row's number, and the last
-// row says how many there are. So a reader that knows only what it asked can tell a row that is missing,
-// doubled, out of order or of another statement.
+// Generates a stand-in node's response to a statement, and checks that a response received is complete and
+// correct. The content depends only on the statement's text: every row's values are computed from the text
+// and the row's number, and the last row contains the number of rows. A reader that knows only the statement
+// can thus detect rows that are missing, duplicated, out of order or from the response to another statement.
 //
-// The columns: the select list's, as far as it is understood. "*" stands for id, label, weight, taken_at and
-// whatever columns the table was given since ("added_1", ...); a literal or another expression for a column
-// of its own, whose type is the literal's.
+// The columns follow the select list. "*" stands for id, label, weight, taken_at and the columns that were
+// added to the table ("added_1", ...). A string literal becomes a text column and any other expression an
+// integer column.
 #pragma once
 
 #include <boost/crc.hpp>
@@ -21,66 +21,69 @@
 
 namespace sablelink::nodes {
 
-// The tables of a fleet of stand-ins, as one catalogue that all of them read; from any thread. A table goes
-// by its own name, whatever schema is named with it.
+// The tables that all stand-in nodes of a fleet share. Thread-safe. Tables are identified by their
+// unqualified names; a schema or catalog in front of the name is ignored.
 class Tables {
  public:
-  // Columns added to the table so far.
+  // The number of columns that the table has beyond the initial ones.
   int added(std::string_view table) const;
-  // Carries out ALTER TABLE ... ADD or ... DROP, and passes over all else.
+  // Applies a data definition statement: every ADD in it adds a column and every DROP removes one. Ignores
+  // all other statements.
   void define(std::string_view statement);
 
  private:
   mutable std::mutex mutex_;
-  std::map<std::string, int, std::less<>> added_;
+  std::map<std::string, int, std::less<>> added_columns_;
 };
 
 class Content {
  public:
-  // added: columns that its table has been given.
-  Content(std::string_view statement, int added);
+  // added_columns: see Tables::added() for the statement's table.
+  Content(std::string_view statement, int added_columns);
 
   const arrowipc::Schema& schema() const { return schema_; }
   int64_t rows() const { return rows_; }
-  size_t row_bytes() const { return row_bytes_; }  // of a row's text, at least
+  size_t min_text_bytes() const { return min_text_bytes_; }
   arrowipc::Batch batch(int64_t first, int64_t count) const;
-  // Whether a row of a batch, as read, is the row of the number. Columns are those of the schema.
-  bool holds(const arrowipc::Batch& batch, int64_t at, int64_t number) const;
+  // Whether the row at batch_row of a received batch equals the row with this number. The batch must have the
+  // columns of schema().
+  bool row_matches(const arrowipc::Batch& batch, int64_t batch_row, int64_t row) const;
 
  private:
-  enum class Column { kId, kLabel, kWeight, kTakenAt, kAdded, kNumber, kText };
+  enum class ColumnKind { kId, kLabel, kWeight, kTakenAt, kAdded, kNumber, kText };
 
-  void add(Column column, std::string name, int number);
-  uint32_t mark(int64_t row) const;
+  void add_column(ColumnKind column, std::string name, int number);
+  uint32_t row_checksum(int64_t row) const;
   std::string label(int64_t row) const;
-  int64_t integer(size_t column, int64_t row) const;
+  int64_t integer_value(size_t column, int64_t row) const;
 
   arrowipc::Schema schema_;
-  std::vector<std::pair<Column, int>> columns_;  // and a number within its kind
+  // The kind of each column and a number that distinguishes the values of columns of the same kind.
+  std::vector<std::pair<ColumnKind, int>> columns_;
   int64_t rows_ = 0;
-  size_t row_bytes_ = 0;
-  boost::crc_32_type begun_;  // a mark's sum, over the statement so far
+  size_t min_text_bytes_ = 0;
+  boost::crc_32_type statement_crc_;  // over the statement and "#", the common beginning of all row checksums
 };
 
-// Reads one answer, batch by batch.
+// Checks one response, batch by batch.
 class AnswerCheck {
  public:
   explicit AnswerCheck(std::string statement) : statement_(std::move(statement)) {}
 
   void on_batch(const arrowipc::Schema& schema, const arrowipc::Batch& batch);
-  // What is wrong with the answer that has ended so; empty where nothing is. One that wasn't served must be
-  // the beginning of one that would have been.
+  // Describes the first error found in the response after its end; empty if there is none. A response that
+  // was not served completely must be the beginning of a correct one.
   std::string fault(bool served) const;
-  // The same for an update's count.
+  // The same for the number of rows that an update reports.
   static std::string update_fault(std::string_view statement, int64_t updated);
 
-  int64_t rows() const { return next_; }
+  int64_t rows() const { return next_row_; }
 
  private:
   const std::string statement_;
-  std::vector<Content> content_;  // one, once the schema is known
-  int64_t next_ = 0;
-  std::string fault_;
+  std::vector<Content> content_;  // empty until the first batch gives the schema, then one element
+  int64_t next_row_ = 0;
+  std::string error_;
 };
 
 }  // namespace sablelink::nodes
--- a/src/nodes/engine.h
+++ b/src/nodes/engine.h
@@ -1,6 +1,7 @@
-// A model of an analytic engine, for stand-in nodes: cores, disks and memory shared by all that it holds,
-// priorities, a line for memory, warm groups of tables, a cold start and falling over. It computes when
-// queries end; it burns no CPU and knows no clock but the times it is told, which must not run back.
+// A model of an analytic engine, for stand-in nodes. Jobs share cores, disks and memory by priority and queue
+// for memory; recently read groups of tables are cached; after a start the engine warms up and can collapse
+// under overload. The model computes when jobs complete without using the CPU for them. It reads no clock:
+// its time is the last `now` given to it, which must never decrease.
 #pragma once
 
 #include <cstdint>
@@ -18,81 +19,86 @@
 struct EngineSettings {
   double cores = 8;
   double memory_mb = 16'384;
-  double disks = 8;              // threads that may read at full speed together
-  double sessions_per_core = 8;  // more are not admitted
-  double peak_threads = 1.7;     // a core; past it the total done falls
-  size_t warm_groups = 4;        // of tables, kept from the last reads
-  double warm_saves = 0.5;       // share of the reading that a warm group saves
-  double spill_cost = 2.5;   // work grows up to this, in times, where a query gets less memory than it needs
-  double cold_from = 1;      // share of its capacity just after a start
-  TimeUs warm_after_us = 0;  // full capacity after this
-  double fall_multiple = 0;  // sent more than this times its present capacity ...
-  TimeUs fall_us = 0;        // ... for this long, it falls over while cold; 0: never
+  double full_speed_io_threads = 8;    // the number of threads that can read at full speed at the same time
+  double sessions_per_core = 8;        // jobs beyond this are not admitted
+  double peak_threads_per_core = 1.7;  // with more threads per core, the total throughput falls
+  size_t max_cached_groups = 4;        // the most recently read groups of tables stay in the cache
+  double cached_io_saving = 0.5;       // the fraction of a job's I/O saved when its table group is cached
+  double max_spill_factor = 2.5;       // a job's work grows by up to this factor when it lacks memory
+  double cold_from = 1;      // the fraction of the full capacity that is available just after a start
+  TimeUs warm_after_us = 0;  // the duration of the warm-up, from cold_from to the full capacity
+  // A warming engine collapses when the work that arrives within fall_us exceeds fall_multiple times what its
+  // current capacity can do in that time. fall_us 0: it never collapses.
+  double fall_multiple = 0;
+  TimeUs fall_us = 0;
 };
 
 struct Job {
   uint64_t id = 0;
-  double work_us = 0;  // of all its threads
+  double work_us = 0;  // the sum over all threads of the job
   double threads = 1;
-  double io = 0.2;  // share of the work that reads or writes
-  double memory_mb = 0;
-  double grant_mb = 0;  // 0: what it needs
-  int priority = 1;
-  int64_t group = -1;
+  double io_fraction = 0.2;  // the fraction of the work that reads or writes
+  double memory_mb = 0;      // the memory that the job needs to run without spilling
+  double grant_mb = 0;       // the memory that it may use at most; 0: no limit
+  int priority = 1;          // from 0 to 3; the highest first
+  int64_t table_group = -1;  // the tables that are cached together; below 0: none
 };
 
-enum class Admission { kRunning, kWaiting, kTooMany };
+enum class Admission { kRunning, kQueued, kTooManySessions };
 
 class Engine {
  public:
-  Engine(const EngineSettings& settings, TimeUs started)
-      : settings_(settings), started_(started), at_(started) {}
+  Engine(const EngineSettings& settings, TimeUs started_at)
+      : settings_(settings), started_at_(started_at), model_time_(started_at) {}
 
   Admission admit(TimeUs now, const Job& job);
-  // Takes a job out before its end; unknown ones are passed over.
+  // Cancels a running or queued job. Does nothing for an unknown id.
   void remove(TimeUs now, uint64_t id);
-  // Moves time on; the jobs that have ended since the last call, in order.
+  // Advances the model's time. Returns the jobs completed since the last call, in the order of completion.
   std::vector<uint64_t> advance(TimeUs now);
-  // When the next job ends if nothing else happens.
-  std::optional<TimeUs> next_end() const;
+  // The time at which the next job completes if no job is added or removed until then.
+  std::optional<TimeUs> next_completion() const;
 
-  // Times slower than usual, from now on.
-  void set_slow(TimeUs now, double factor);
-  // So much memory from now on. What runs keeps what it has; nothing starts until that fits again.
+  // From now on the cores run slower by this factor.
+  void set_slowdown(TimeUs now, double factor);
+  // Changes the total memory. Running jobs keep their memory; no queued job starts until it fits into the
+  // rest.
   void set_memory(TimeUs now, double memory_mb);
-  bool fallen() const { return fallen_; }
-  std::optional<double> progress(uint64_t id) const;  // share of the work done, 0 while it waits
-  bool waiting(uint64_t id) const;
+  bool collapsed() const { return collapsed_; }
+  // The completed fraction of a job's work, 0 while it is queued; none for an unknown id.
+  std::optional<double> progress(uint64_t id) const;
+  bool is_queued(uint64_t id) const;
   LoadReport report() const;
-  size_t held() const { return running_.size() + line_.size(); }
-  double warmth(TimeUs now) const;
+  size_t in_flight_count() const { return running_.size() + memory_queue_.size(); }
+  // The fraction of the full capacity that is available during the warm-up, 1 after it.
+  double capacity_fraction(TimeUs now) const;
 
  private:
-  struct Running {
+  struct RunningJob {
     Job job;
-    double memory_mb = 0;  // as it had at its start
-    double left_us = 0;    // work
-    double rate = 0;       // work done in each microsecond
+    double memory_mb = 0;  // allocated at its start, released at its end
+    double remaining_work_us = 0;
+    double rate = 0;  // work done per microsecond
   };
 
   void run_until(TimeUs now);
   void start(const Job& job);
-  void start_waiting();
-  void share_out();
-  double memory_of(const Job& job) const;
-  void note_push(TimeUs now, double work_us);
+  void start_queued_jobs();
+  void allocate_resources();
+  double allocated_memory_mb(const Job& job) const;
+  void record_arrival(TimeUs now, double work_us);
 
   EngineSettings settings_;
-  TimeUs started_, at_;
-  std::map<uint64_t, Running> running_;
-  std::deque<Job> line_;  // waits for memory, by priority and then in turn
-  std::deque<int64_t> warm_;
-  std::vector<uint64_t> ended_;  // not told yet
-  std::deque<std::pair<TimeUs, double>> pushed_;
-  double pushed_us_ = 0;
+  TimeUs started_at_, model_time_;
+  std::map<uint64_t, RunningJob> running_;
+  std::deque<Job> memory_queue_;                           // by priority, then in the order of arrival
+  std::deque<int64_t> cached_groups_;                      // the most recently read first
+  std::vector<uint64_t> completed_;                        // not yet returned by advance()
+  std::deque<std::pair<TimeUs, double>> recent_arrivals_;  // time of arrival and work, within fall_us
+  double recent_work_us_ = 0;                              // the sum of the work in recent_arrivals_
   double memory_used_ = 0;
-  double slow_ = 1;
-  bool fallen_ = false;
+  double slowdown_ = 1;
+  bool collapsed_ = false;
 };
 
 }  // namespace sablelink::nodes
--- a/src/nodes/node_config.cpp
+++ b/src/nodes/node_config.cpp
@@ -8,8 +8,8 @@
 
 using config::Section;
 
-const std::vector<std::pair<std::string, FaultKind>>& fault_words() {
-  static const std::vector<std::pair<std::string, FaultKind>> kWords = {
+const std::vector<std::pair<std::string, FaultKind>>& fault_kind_names() {
+  static const std::vector<std::pair<std::string, FaultKind>> kNames = {
       {"hang", FaultKind::kHang},
       {"errors", FaultKind::kErrors},
       {"lost_answers", FaultKind::kLostAnswers},
@@ -17,67 +17,69 @@
       {"stale_reports", FaultKind::kStaleReports},
       {"refuse", FaultKind::kRefuse},
       {"memory_short", FaultKind::kMemoryShort}};
-  return kWords;
+  return kNames;
 }
 
 NodeConfig parse_node_config(std::string_view text, const std::string& file) {
   Section root = Section::parse(text, file);
-  NodeConfig c;
+  NodeConfig config;
   Section node = root.table("node");
-  c.name = node.string("name");
-  c.listen = node.string("listen");
-  c.record = node.string("record", "");
-  c.heeds_grants = node.boolean("grants", false);
-  c.progress_every_us = node.duration("progress_every", 0);
-  c.report_every_us = node.duration("report_every", c.report_every_us);
-  c.batch_bytes = node.byte_size("batch_bytes", c.batch_bytes);
+  config.name = node.string("name");
+  config.listen = node.string("listen");
+  config.record = node.string("record", "");
+  config.honors_grants = node.boolean("grants", false);
+  config.progress_every_us = node.duration("progress_every", 0);
+  config.report_every_us = node.duration("report_every", config.report_every_us);
+  config.batch_bytes = node.byte_size("batch_bytes", config.batch_bytes);
   node.reject_unknown_keys();
-  Section s = root.table("engine");
-  EngineSettings& e = c.engine;
-  e.cores = s.number("cores", 0.1, 10'000, e.cores);
-  e.memory_mb =
-      static_cast<double>(s.byte_size("memory", static_cast<size_t>(e.memory_mb) << 20)) / (1 << 20);
-  e.disks = s.number("disks", 0.1, 10'000, e.cores);
-  e.sessions_per_core = s.number("sessions_per_core", 0.01, 10'000, e.sessions_per_core);
-  e.peak_threads = s.number("peak_threads", 0.1, 100, e.peak_threads);
-  e.warm_groups = s.integer("warm_groups", 0, 10'000, static_cast<int64_t>(e.warm_groups));
-  e.warm_saves = s.number("warm_saves", 0, 1, e.warm_saves);
-  e.spill_cost = s.number("spill_cost", 1, 1000, e.spill_cost);
-  e.cold_from = s.number("cold_from", 0.01, 1, e.cold_from);
-  e.warm_after_us = s.duration("warm_after", 0);
-  e.fall_multiple = s.number("fall_multiple", 0, 1000, 0);
-  e.fall_us = s.duration("fall_after", 0);
-  s.reject_unknown_keys();
-  for (Section& f : root.tables("fault")) {
+  Section section = root.table("engine");
+  EngineSettings& engine = config.engine;
+  engine.cores = section.number("cores", 0.1, 10'000, engine.cores);
+  engine.memory_mb =
+      static_cast<double>(section.byte_size("memory", static_cast<size_t>(engine.memory_mb) << 20)) /
+      (1 << 20);
+  engine.full_speed_io_threads = section.number("disks", 0.1, 10'000, engine.cores);
+  engine.sessions_per_core = section.number("sessions_per_core", 0.01, 10'000, engine.sessions_per_core);
+  engine.peak_threads_per_core = section.number("peak_threads", 0.1, 100, engine.peak_threads_per_core);
+  engine.max_cached_groups =
+      section.integer("warm_groups", 0, 10'000, static_cast<int64_t>(engine.max_cached_groups));
+  engine.cached_io_saving = section.number("warm_saves", 0, 1, engine.cached_io_saving);
+  engine.max_spill_factor = section.number("spill_cost", 1, 1000, engine.max_spill_factor);
+  engine.cold_from = section.number("cold_from", 0.01, 1, engine.cold_from);
+  engine.warm_after_us = section.duration("warm_after", 0);
+  engine.fall_multiple = section.number("fall_multiple", 0, 1000, 0);
+  engine.fall_us = section.duration("fall_after", 0);
+  section.reject_unknown_keys();
+  for (Section& entry : root.tables("fault")) {
     Fault fault;
-    fault.kind = f.one_of<FaultKind>("kind", fault_words(), std::nullopt);
-    fault.from_us = f.duration("from");
-    fault.for_us = f.duration("for");
-    fault.value = f.number("value", 0.001, 1000, 1);
-    f.reject_unknown_keys();
-    c.faults.push_back(fault);
+    fault.kind = entry.one_of<FaultKind>("kind", fault_kind_names(), std::nullopt);
+    fault.start_us = entry.duration("from");
+    fault.duration_us = entry.duration("for");
+    fault.value = entry.number("value", 0.001, 1000, 1);
+    entry.reject_unknown_keys();
+    config.faults.push_back(fault);
   }
   root.reject_unknown_keys();
-  return c;
+  return config;
 }
 
 namespace {
 
-using Mishap = StatementHint::Mishap;
+using StatementFault = StatementHint::StatementFault;
 
-Mishap mishap_named(std::string_view name) {
-  if (name == "error") return Mishap::kError;
-  if (name == "statement") return Mishap::kStatement;
-  if (name == "refuse") return Mishap::kRefuse;
-  if (name == "hang") return Mishap::kHang;
-  if (name == "lost") return Mishap::kLostAnswer;
-  if (name == "reset") return Mishap::kReset;
-  if (name == "break") return Mishap::kBreakStream;
-  return Mishap::kNone;
+StatementFault statement_fault_by_name(std::string_view name) {
+  if (name == "error") return StatementFault::kError;
+  if (name == "statement") return StatementFault::kInvalidStatement;
+  if (name == "refuse") return StatementFault::kReject;
+  if (name == "hang") return StatementFault::kHang;
+  if (name == "lost") return StatementFault::kLostResponse;
+  if (name == "reset") return StatementFault::kReset;
+  if (name == "break") return StatementFault::kBreakStream;
+  return StatementFault::kNone;
 }
 
 template <typename T>
-void read(std::string_view text, T low, T high, T& out) {
+void read_number(std::string_view text, T low, T high, T& out) {
   T value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error == std::errc() && end == text.data() + text.size() && value >= low && value <= high) out = value;
@@ -96,32 +98,32 @@
     const size_t space = text.find(' ');
     const std::string_view item = text.substr(0, space);
     text = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
-    const size_t eq = item.find('=');
-    if (eq == std::string_view::npos) continue;
-    const std::string_view key = item.substr(0, eq);
-    const std::string_view value = item.substr(eq + 1);
+    const size_t separator = item.find('=');
+    if (separator == std::string_view::npos) continue;
+    const std::string_view key = item.substr(0, separator);
+    const std::string_view value = item.substr(separator + 1);
     if (key == "work")
       hint.work_us = static_cast<double>(config::parse_duration(value).value_or(5'000));
     else if (key == "threads")
-      read(value, 0.1, 1000.0, hint.threads);
+      read_number(value, 0.1, 1000.0, hint.threads);
     else if (key == "io")
-      read(value, 0.0, 1.0, hint.io);
+      read_number(value, 0.0, 1.0, hint.io_fraction);
     else if (key == "memory")
-      read(value, 0.0, 1e9, hint.memory_mb);
+      read_number(value, 0.0, 1e9, hint.memory_mb);
     else if (key == "rows")
-      read<int64_t>(value, 0, 100'000'000, hint.rows);
+      read_number<int64_t>(value, 0, 100'000'000, hint.rows);
     else if (key == "row_bytes")
-      read<size_t>(value, 0, 1 << 20, hint.row_bytes);
+      read_number<size_t>(value, 0, 1 << 20, hint.min_text_bytes);
     else if (key == "mishap")
-      hint.mishap = mishap_named(value);
+      hint.fault = statement_fault_by_name(value);
     else if (key == "valid_at")
-      hint.valid_at = value;
+      hint.valid_node = value;
     else if (key == "plan")
-      hint.plan_us = static_cast<double>(config::parse_duration(value).value_or(2'000));
+      hint.plan_work_us = static_cast<double>(config::parse_duration(value).value_or(2'000));
     else if (key == "plan_mishap")
-      hint.plan_mishap = mishap_named(value);
+      hint.plan_fault = statement_fault_by_name(value);
     else if (key == "on_attempt")
-      read(value, -1, 255, hint.on_attempt);
+      read_number(value, -1, 255, hint.fault_attempt);
   }
   return hint;
 }
--- a/src/nodes/node_config.h
+++ b/src/nodes/node_config.h
@@ -1,4 +1,5 @@
-// The configuration of a stand-in node, and what a statement's hint comment asks of it.
+// The configuration of a stand-in node, and the hint comments by which statements set their own cost and
+// faults.
 #pragma once
 
 #include <string>
@@ -11,67 +12,68 @@
 namespace sablelink::nodes {
 
 enum class FaultKind {
-  kHang,          // takes requests and answers none
-  kErrors,        // answers at once with an error
-  kLostAnswers,   // does the work and never answers
-  kSlow,          // value times slower
-  kStaleReports,  // load reports stay what they were at its start
-  kRefuse,        // admits nothing
-  kMemoryShort,   // that share of its memory is left; what waits lines up, what starts spills
+  kHang,          // accepts requests and never responds
+  kErrors,        // responds at once with an error
+  kLostAnswers,   // does the work and never responds
+  kSlow,          // runs slower by the factor in value
+  kStaleReports,  // load reports keep the figures from before the fault
+  kRefuse,        // rejects every request
+  kMemoryShort,   // only the fraction in value of the memory is available, so that jobs queue or spill
 };
 
-// The words that configurations and scripts use for them.
-const std::vector<std::pair<std::string, FaultKind>>& fault_words();
+// The names of the kinds in configurations and scripts.
+const std::vector<std::pair<std::string, FaultKind>>& fault_kind_names();
 
-// From a time after the node's start on; share of the requests hit, for those that hit single requests.
 struct Fault {
   FaultKind kind = FaultKind::kHang;
-  TimeUs from_us = 0, for_us = 0;
-  double value = 1;
-  bool holds_at(TimeUs age) const { return age >= from_us && age < from_us + for_us; }
+  TimeUs start_us = 0;  // since the node's start
+  TimeUs duration_us = 0;
+  double value = 1;  // used by kSlow and kMemoryShort only
+  bool is_active_at(TimeUs age) const { return age >= start_us && age < start_us + duration_us; }
 };
 
 struct NodeConfig {
   std::string name;
   std::string listen;
   EngineSettings engine;
-  bool heeds_grants = false;
-  TimeUs progress_every_us = 0;      // 0: no notes
-  TimeUs report_every_us = 200'000;  // load reports are refreshed so often
-  size_t batch_bytes = 64u << 10;    // of an answer's batches, about
+  bool honors_grants = false;
+  TimeUs progress_every_us = 0;      // the interval of progress notes; 0: none are sent
+  TimeUs report_every_us = 200'000;  // the interval at which the load report is refreshed
+  size_t batch_bytes = 64u << 10;    // the approximate size of a batch in a response
   std::vector<Fault> faults;
-  std::string record;  // file that takes a record of what passes; empty: none
+  std::string record;  // path of the file to which the node's events are appended; empty: none
 };
 
 // Throws config::ConfigError.
 NodeConfig parse_node_config(std::string_view text, const std::string& file);
 
-// What a statement costs and what goes wrong with it: /*+ work=200ms threads=4 memory=64 io=0.3 rows=10 */.
-// Whatever isn't told keeps its default.
+// The cost of a statement and the fault to inject into it, given by a comment in the statement, for example
+// /*+ work=200ms threads=4 memory=64 io=0.3 rows=10 */. A key that is missing or can't be parsed keeps its
+// default.
 struct StatementHint {
   double work_us = 5'000;
   double threads = 1;
-  double io = 0.2;
+  double io_fraction = 0.2;
   double memory_mb = 16;
   int64_t rows = 3;
-  size_t row_bytes = 16;  // of its text column
-  // For tests; on_attempt tells which attempt it befalls, -1 all.
-  enum class Mishap {
+  size_t min_text_bytes = 16;  // the minimum length of the values in text columns
+  // A fault injected into a single statement, for tests.
+  enum class StatementFault {
     kNone,
-    kError,        // an error after the work
-    kStatement,    // the statement is at fault
-    kRefuse,       // not admitted
-    kHang,         // taken, never worked on, never answered
-    kLostAnswer,   // worked on, never answered
-    kReset,        // broken off in the middle of the work
-    kBreakStream,  // broken off after the first batch
+    kError,             // the call fails after the work
+    kInvalidStatement,  // the call fails at once, with an error that blames the statement
+    kReject,            // the statement is not admitted
+    kHang,              // the statement is accepted, not executed and never responded to
+    kLostResponse,      // the statement is executed and never responded to
+    kReset,             // the call is reset in the middle of the work
+    kBreakStream,       // the stream is reset after the first batch
   };
-  Mishap mishap = Mishap::kNone;
-  int on_attempt = -1;
-  std::string valid_at;  // the only node to which the statement is right; empty: all
-  // Of planning it.
-  double plan_us = 2'000;
-  Mishap plan_mishap = Mishap::kNone;
+  StatementFault fault = StatementFault::kNone;
+  int fault_attempt = -1;  // the number of the attempt that gets the fault; -1: all attempts
+  std::string valid_node;  // the name of the only node that accepts the statement; empty: all do
+  // Work and fault of planning the statement, in place of those of its execution.
+  double plan_work_us = 2'000;
+  StatementFault plan_fault = StatementFault::kNone;
 };
 StatementHint read_hint(std::string_view statement);
 
--- a/src/nodes/record_file.h
+++ b/src/nodes/record_file.h
@@ -1,5 +1,5 @@
-// Records in a file: NodeRecord messages (proto/sablelink.proto), each behind its length, each written out at
-// once, so that a killed process loses none but the one it was writing.
+// Records in a file: NodeRecord messages (proto/sablelink.proto), each preceded by its length. Each is
+// written to the file at once, so that a killed process loses at most the record that it was writing.
 #pragma once
 
 #include <memory>
@@ -19,7 +19,7 @@
 
 class RecordFile : public Recorder {
  public:
-  // Appends. Throws RecordFileError where the file can't be opened.
+  // Opens the file for appending and creates it if it is missing. Throws RecordFileError if that fails.
   explicit RecordFile(const std::string& path);
   ~RecordFile() override;
   void record(const NodeEvent& event) override;
@@ -29,7 +29,8 @@
   int file_;
 };
 
-// All records of a file; one cut off at its end is left out. Throws RecordFileError where there is no file.
+// Returns the records of a file up to the first incomplete one, which a killed process leaves at the end.
+// Throws RecordFileError if the file can't be read.
 std::vector<NodeEvent> read_records(const std::string& path);
 
 }  // namespace sablelink::nodes
--- a/src/nodes/recorder.h
+++ b/src/nodes/recorder.h
@@ -1,5 +1,5 @@
-// Takes down what passes a stand-in's or a client's sockets, for the auditor. Times are microseconds since
-// 1970 on this machine's clock.
+// Records the start of a stand-in node and the calls that it receives, for the auditor. Times are
+// microseconds since 1970 on this machine's clock.
 #pragma once
 
 #include <string>
@@ -9,20 +9,22 @@
 namespace sablelink::nodes {
 
 struct NodeEvent {
+  // A start of the node, the arrival or the end of a call, or a call whose arrival made the engine collapse.
   enum class Kind { kStarted, kArrived, kEnded, kFell };
-  // How a call ended here: what was sent, or that the other side gave it up.
+  // How a call ended at the node: by a response, by an error or rejection, by the caller's cancellation, or
+  // by a reset.
   enum class End { kAnswered, kError, kRefused, kCancelled, kBroken };
   Kind kind = Kind::kArrived;
   TimeUs at = 0;
   std::string node;
-  // Of calls alone.
-  std::string request;  // as the gateway names it
-  std::string tag;      // as the client names it
+  // The members below are set for calls only.
+  std::string request;  // the gateway's identifier of the request
+  std::string tag;      // the client's identifier of the request
   int attempt = 0;
   bool update = false;
-  bool ran = false;    // kEnded: work was begun
-  bool done = false;   // kEnded: the work was done, whoever heard of it
-  double work_us = 0;  // that the statement asked for
+  bool ran = false;    // kEnded: the work was started
+  bool done = false;   // kEnded: the work was completed, even if no response was sent
+  double work_us = 0;  // the work according to the statement's hint
   End end = End::kAnswered;
 };
 
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -19,12 +19,12 @@
 using namespace flightsql;  // NOLINT: the stand-in speaks the same protocol
 using rpc::Awaitable;
 using rpc::Code;
-using Mishap = StatementHint::Mishap;
+using StatementFault = StatementHint::StatementFault;
 
-constexpr int64_t kMostBatchRows = 1024;
-constexpr size_t kRowBytes = 48;  // of a row beside its text, about
+constexpr int64_t kMaxBatchRows = 1024;
+constexpr size_t kFixedRowBytes = 48;  // the approximate size of a row without its text column
 
-// The parameters of a statement, as far as a stand-in knows types: all texts.
+// The schema of a statement's parameters. A stand-in node doesn't infer types, so all are strings.
 std::string parameter_schema(const std::string& statement) {
   arrowipc::Schema schema;
   const size_t count = sql::count_parameters(statement);
@@ -37,9 +37,10 @@
   return arrowipc::encapsulate(arrowipc::encode_schema(schema));
 }
 
-std::string plan_answer(const std::string& statement, const arrowipc::Schema& schema, bool prepares) {
+std::string plan_response(const std::string& statement, const arrowipc::Schema& schema,
+                          bool as_prepared_statement) {
   const std::string dataset = arrowipc::encapsulate(arrowipc::encode_schema(schema));
-  if (!prepares) {
+  if (!as_prepared_statement) {
     flight::SchemaResult result;
     result.set_schema(dataset);
     return result.SerializeAsString();
@@ -55,17 +56,17 @@
 
 }  // namespace
 
-struct StandIn::Job {
+struct StandIn::Execution {
   uint64_t id = 0;
   CallPtr call;
   StatementHint hint;
   std::string request, tag;
   int attempt = 0;
-  bool update = false;
-  bool notes_go = false;
-  bool ran = false, done = false, cancelled = false;
-  AsyncEvent changed;
-  std::vector<wire::ProgressNote> notes;
+  bool is_update = false;
+  bool streams_progress = false;
+  bool work_started = false, work_completed = false, cancelled = false;
+  AsyncEvent state_changed;
+  std::vector<wire::ProgressNote> progress_notes;
 };
 
 StandIn::StandIn(NodeConfig config, Clock& clock, Recorder* recorder, std::shared_ptr<Tables> tables)
@@ -73,21 +74,21 @@
       clock_(clock),
       recorder_(recorder),
       tables_(tables ? std::move(tables) : std::make_shared<Tables>()),
-      started_(clock.now()),
-      engine_(config_.engine, started_),
+      started_at_(clock.now()),
+      engine_(config_.engine, started_at_),
       faults_(config_.faults),
       self_(std::make_shared<StandIn*>(this)) {
   if (recorder_ != nullptr) {
     NodeEvent event;
     event.kind = NodeEvent::Kind::kStarted;
-    event.at = started_;
+    event.at = started_at_;
     event.node = config_.name;
     recorder_->record(event);
   }
   report_ = engine_.report();
   for (const Fault& fault : faults_) {
-    for (const TimeUs at : {fault.from_us, fault.from_us + fault.for_us})
-      clock_.call_after(at, [self = self_] {
+    for (const TimeUs delay_us : {fault.start_us, fault.start_us + fault.duration_us})
+      clock_.call_after(delay_us, [self = self_] {
         if (*self != nullptr) (*self)->apply_faults();
       });
   }
@@ -95,119 +96,120 @@
 
 StandIn::~StandIn() { *self_ = nullptr; }
 
-bool StandIn::struck_by(FaultKind kind) const {
-  const TimeUs age = clock_.now() - started_;
+bool StandIn::has_active_fault(FaultKind kind) const {
+  const TimeUs age = clock_.now() - started_at_;
   return std::any_of(faults_.begin(), faults_.end(),
-                     [&](const Fault& f) { return f.kind == kind && f.holds_at(age); });
+                     [&](const Fault& f) { return f.kind == kind && f.is_active_at(age); });
 }
 
-void StandIn::begin_fault(FaultKind kind, TimeUs for_us, double value) {
-  faults_.push_back({kind, clock_.now() - started_, for_us, value});
+void StandIn::begin_fault(FaultKind kind, TimeUs duration_us, double value) {
+  faults_.push_back({kind, clock_.now() - started_at_, duration_us, value});
   apply_faults();
-  clock_.call_after(for_us, [self = self_] {
+  clock_.call_after(duration_us, [self = self_] {
     if (*self != nullptr) (*self)->apply_faults();
   });
 }
 
 void StandIn::apply_faults() {
-  const TimeUs age = clock_.now() - started_;
-  double slow = 1;
-  double memory = 1;
+  const TimeUs age = clock_.now() - started_at_;
+  double slowdown = 1;
+  double memory_fraction = 1;
   for (const Fault& f : faults_) {
-    if (!f.holds_at(age)) continue;
-    if (f.kind == FaultKind::kSlow) slow = std::max(slow, f.value);
-    if (f.kind == FaultKind::kMemoryShort) memory = std::min(memory, f.value);
+    if (!f.is_active_at(age)) continue;
+    if (f.kind == FaultKind::kSlow) slowdown = std::max(slowdown, f.value);
+    if (f.kind == FaultKind::kMemoryShort) memory_fraction = std::min(memory_fraction, f.value);
   }
-  run_engine();
-  engine_.set_slow(clock_.now(), slow);
-  engine_.set_memory(clock_.now(), config_.engine.memory_mb * memory);
-  schedule();
+  advance_engine();
+  engine_.set_slowdown(clock_.now(), slowdown);
+  engine_.set_memory(clock_.now(), config_.engine.memory_mb * memory_fraction);
+  schedule_completion();
 }
 
-void StandIn::record(const Job& job, NodeEvent::Kind kind, NodeEvent::End end) {
+void StandIn::record(const Execution& execution, NodeEvent::Kind kind, NodeEvent::End end) {
   if (recorder_ == nullptr) return;
   NodeEvent event;
   event.kind = kind;
   event.at = clock_.now();
   event.node = config_.name;
-  event.request = job.request;
-  event.tag = job.tag;
-  event.attempt = job.attempt;
-  event.update = job.update;
-  event.ran = job.ran;
-  event.done = job.done;
-  event.work_us = job.hint.work_us;
+  event.request = execution.request;
+  event.tag = execution.tag;
+  event.attempt = execution.attempt;
+  event.update = execution.is_update;
+  event.ran = execution.work_started;
+  event.done = execution.work_completed;
+  event.work_us = execution.hint.work_us;
   event.end = end;
   recorder_->record(event);
 }
 
-LoadReport StandIn::reported() {
+LoadReport StandIn::current_report() {
   const TimeUs now = clock_.now();
-  if (now - report_at_ >= config_.report_every_us && !struck_by(FaultKind::kStaleReports)) {
+  if (now - report_refreshed_at_ >= config_.report_every_us && !has_active_fault(FaultKind::kStaleReports)) {
     report_ = engine_.report();
-    report_at_ = now;
+    report_refreshed_at_ = now;
   }
   return report_;
 }
 
 // ---- Time
 
-void StandIn::schedule() {
-  const std::optional<TimeUs> next = engine_.next_end();
-  if (!next || (armed_for_ != 0 && armed_for_ <= *next)) return;
-  armed_for_ = *next;
-  clock_.call_after(std::max<TimeUs>(*next - clock_.now(), 0), [self = self_, at = *next] {
-    StandIn* const node = *self;
-    if (node == nullptr || node->armed_for_ != at) return;
-    node->armed_for_ = 0;
-    node->run_engine();
-    node->schedule();
-  });
+void StandIn::schedule_completion() {
+  const std::optional<TimeUs> next_completion = engine_.next_completion();
+  if (!next_completion || (completion_timer_at_ != 0 && completion_timer_at_ <= *next_completion)) return;
+  completion_timer_at_ = *next_completion;
+  clock_.call_after(std::max<TimeUs>(*next_completion - clock_.now(), 0),
+                    [self = self_, at = *next_completion] {
+                      StandIn* const node = *self;
+                      if (node == nullptr || node->completion_timer_at_ != at) return;
+                      node->completion_timer_at_ = 0;
+                      node->advance_engine();
+                      node->schedule_completion();
+                    });
 }
 
-void StandIn::run_engine() {
+void StandIn::advance_engine() {
   for (const uint64_t id : engine_.advance(clock_.now())) {
-    const auto it = jobs_.find(id);
-    if (it == jobs_.end()) continue;
-    const std::shared_ptr<Job> job = it->second;
-    jobs_.erase(it);
-    job->done = true;
-    job->changed.set();
+    const auto it = executions_.find(id);
+    if (it == executions_.end()) continue;
+    const std::shared_ptr<Execution> execution = it->second;
+    executions_.erase(it);
+    execution->work_completed = true;
+    execution->state_changed.set();
   }
 }
 
-void StandIn::schedule_notes() {
-  if (notes_armed_ || config_.progress_every_us <= 0) return;
-  notes_armed_ = true;
+void StandIn::schedule_progress_notes() {
+  if (progress_timer_pending_ || config_.progress_every_us <= 0) return;
+  progress_timer_pending_ = true;
   clock_.call_after(config_.progress_every_us, [self = self_] {
     StandIn* const node = *self;
     if (node == nullptr) return;
-    node->notes_armed_ = false;
-    node->run_engine();
-    for (const auto& [id, job] : node->jobs_) {
+    node->progress_timer_pending_ = false;
+    node->advance_engine();
+    for (const auto& [id, execution] : node->executions_) {
       wire::ProgressNote note;
-      note.set_kind(node->engine_.waiting(id) ? wire::ProgressNote::WAIT : wire::ProgressNote::PROGRESS);
-      note.set_value(node->engine_.waiting(id) ? 1 : node->engine_.progress(id).value_or(0));
-      job->notes.assign(1, note);
-      job->changed.set();
+      note.set_kind(node->engine_.is_queued(id) ? wire::ProgressNote::WAIT : wire::ProgressNote::PROGRESS);
+      note.set_value(node->engine_.is_queued(id) ? 1 : node->engine_.progress(id).value_or(0));
+      execution->progress_notes.assign(1, note);
+      execution->state_changed.set();
     }
-    if (!node->jobs_.empty()) node->schedule_notes();
+    if (!node->executions_.empty()) node->schedule_progress_notes();
   });
 }
 
 // ---- Calls
 
-Awaitable<void> StandIn::finish(CallPtr call, rpc::Status status, std::optional<std::string> last,
-                                const Job* job) {
+Awaitable<void> StandIn::finish(CallPtr call, rpc::Status status, std::optional<std::string> final_message,
+                                const Execution* execution) {
   NodeReport report;
-  report.load = reported();
-  if (job != nullptr && status.ok()) {
-    report.work_us = job->hint.work_us;
-    report.used_mb = job->hint.memory_mb;
+  report.load = current_report();
+  if (execution != nullptr && status.ok()) {
+    report.work_us = execution->hint.work_us;
+    report.used_mb = execution->hint.memory_mb;
   }
   rpc::Metadata trailers;
   trailers.emplace_back(kLoadReportKey, encode_report(report));
-  co_await call->finish(std::move(status), std::move(trailers), std::move(last));
+  co_await call->finish(std::move(status), std::move(trailers), std::move(final_message));
 }
 
 Awaitable<void> StandIn::handle(CallPtr call) {
@@ -219,7 +221,7 @@
     flight::FlightDescriptor descriptor;
     google::protobuf::Any any;
     fsql::CommandStatementQuery command;
-    if (struck_by(FaultKind::kHang)) {  // hung: not even this is answered
+    if (has_active_fault(FaultKind::kHang)) {  // a hanging node doesn't respond to this call either
       AsyncEvent never;
       call->on_cancelled([&never] { never.set(); });
       co_await never.wait();
@@ -233,9 +235,9 @@
         ticket.set_statement_handle(command.query());
         info.add_endpoint()->mutable_ticket()->set_ticket(pack(ticket));
       }
-      std::optional<std::string> last = info.SerializeAsString();
+      std::optional<std::string> final_message = info.SerializeAsString();
       rpc::Status status;
-      co_await finish(call, std::move(status), std::move(last), nullptr);
+      co_await finish(call, std::move(status), std::move(final_message), nullptr);
       co_return;
     }
   } else if (message && method == "DoGet") {
@@ -288,169 +290,176 @@
   co_await finish(call, std::move(status), std::move(none), nullptr);
 }
 
-// Runs the job in the engine until it is done, or false where the call is over before.
-Awaitable<bool> StandIn::work(std::shared_ptr<Job> job) {
-  while (!job->done && !job->cancelled) {
-    for (const wire::ProgressNote& note : std::exchange(job->notes, {})) {
+// Waits until the engine has completed the work and streams progress notes in the meantime. Returns false if
+// the call is cancelled before.
+Awaitable<bool> StandIn::wait_for_completion(std::shared_ptr<Execution> execution) {
+  while (!execution->work_completed && !execution->cancelled) {
+    for (const wire::ProgressNote& note : std::exchange(execution->progress_notes, {})) {
       flight::FlightData data;
       data.set_app_metadata(note.SerializeAsString());
-      if (!job->notes_go) continue;  // streams of other calls than DoGet have no room for notes
+      if (!execution->streams_progress) continue;  // only the streams of DoGet can carry progress notes
       std::string bytes = data.SerializeAsString();
-      co_await job->call->write(std::move(bytes));
+      co_await execution->call->write(std::move(bytes));
     }
-    if (!job->done && !job->cancelled) co_await job->changed.wait();
+    if (!execution->work_completed && !execution->cancelled) co_await execution->state_changed.wait();
   }
-  co_return !job->cancelled;
+  co_return !execution->cancelled;
 }
 
-Awaitable<void> StandIn::execute(CallPtr call, std::string statement, dispatch::ExecutionKind task,
-                                 bool prepares) {
-  const bool update = task == dispatch::ExecutionKind::kUpdate;
-  const bool plans = task == dispatch::ExecutionKind::kPlan;
+Awaitable<void> StandIn::execute(CallPtr call, std::string statement, dispatch::ExecutionKind kind,
+                                 bool as_prepared_statement) {
+  const bool is_update = kind == dispatch::ExecutionKind::kUpdate;
+  const bool is_plan = kind == dispatch::ExecutionKind::kPlan;
   const rpc::Metadata& metadata = call->metadata();
-  const auto job = std::make_shared<Job>();
-  job->id = ++last_job_;
-  job->call = call;
-  job->hint = read_hint(statement);
-  if (plans) {
-    job->hint.work_us = job->hint.plan_us;
-    job->hint.threads = job->hint.memory_mb = 1;
-    job->hint.io = 0;
-    job->hint.mishap = job->hint.plan_mishap;
+  const auto execution = std::make_shared<Execution>();
+  execution->id = ++last_execution_id_;
+  execution->call = call;
+  execution->hint = read_hint(statement);
+  if (is_plan) {
+    execution->hint.work_us = execution->hint.plan_work_us;
+    execution->hint.threads = execution->hint.memory_mb = 1;
+    execution->hint.io_fraction = 0;
+    execution->hint.fault = execution->hint.plan_fault;
   }
-  if (!job->hint.valid_at.empty() && job->hint.valid_at != config_.name)
-    job->hint.mishap = Mishap::kStatement;
-  job->request = rpc::find_value(metadata, kRequestKey);
-  job->tag = rpc::find_value(metadata, kClientTagKey);
-  job->attempt = find_number(metadata, kAttemptKey, 0);
-  job->update = update;
-  job->notes_go = task == dispatch::ExecutionKind::kQuery;
-  if (job->hint.on_attempt >= 0 && job->hint.on_attempt != job->attempt) job->hint.mishap = Mishap::kNone;
-  Mishap mishap = job->hint.mishap;
-  if (struck_by(FaultKind::kHang))
-    mishap = Mishap::kHang;
-  else if (struck_by(FaultKind::kErrors))
-    mishap = Mishap::kError;
-  else if (struck_by(FaultKind::kRefuse))
-    mishap = Mishap::kRefuse;
-  else if (struck_by(FaultKind::kLostAnswers))
-    mishap = Mishap::kLostAnswer;
+  if (!execution->hint.valid_node.empty() && execution->hint.valid_node != config_.name)
+    execution->hint.fault = StatementFault::kInvalidStatement;
+  execution->request = rpc::find_value(metadata, kRequestKey);
+  execution->tag = rpc::find_value(metadata, kClientTagKey);
+  execution->attempt = find_number(metadata, kAttemptKey, 0);
+  execution->is_update = is_update;
+  execution->streams_progress = kind == dispatch::ExecutionKind::kQuery;
+  if (execution->hint.fault_attempt >= 0 && execution->hint.fault_attempt != execution->attempt)
+    execution->hint.fault = StatementFault::kNone;
+  StatementFault fault = execution->hint.fault;
+  if (has_active_fault(FaultKind::kHang))
+    fault = StatementFault::kHang;
+  else if (has_active_fault(FaultKind::kErrors))
+    fault = StatementFault::kError;
+  else if (has_active_fault(FaultKind::kRefuse))
+    fault = StatementFault::kReject;
+  else if (has_active_fault(FaultKind::kLostAnswers))
+    fault = StatementFault::kLostResponse;
 
-  run_engine();
-  record(*job, NodeEvent::Kind::kArrived, NodeEvent::End::kAnswered);
-  call->on_cancelled([this, self = self_, job] {
-    job->cancelled = true;
+  advance_engine();
+  record(*execution, NodeEvent::Kind::kArrived, NodeEvent::End::kAnswered);
+  call->on_cancelled([this, self = self_, execution] {
+    execution->cancelled = true;
     if (*self != nullptr) {
-      engine_.remove(clock_.now(), job->id);
-      jobs_.erase(job->id);
-      schedule();
+      engine_.remove(clock_.now(), execution->id);
+      executions_.erase(execution->id);
+      schedule_completion();
     }
-    job->changed.set();
+    execution->state_changed.set();
   });
 
   NodeEvent::End end = NodeEvent::End::kAnswered;
   rpc::Status status;
-  std::optional<std::string> last;
-  bool hung = false;
-  if (mishap == Mishap::kHang) {
-    hung = true;
-  } else if (mishap == Mishap::kRefuse || draining_) {
+  std::optional<std::string> final_message;
+  bool never_respond = false;
+  if (fault == StatementFault::kHang) {
+    never_respond = true;
+  } else if (fault == StatementFault::kReject || draining_) {
     end = NodeEvent::End::kRefused;
     status = make_error(Code::kResourceExhausted, draining_ ? "draining" : "not admitted", kNodeDomain,
                         kNotAdmitted);
-  } else if (mishap == Mishap::kStatement) {
+  } else if (fault == StatementFault::kInvalidStatement) {
     end = NodeEvent::End::kError;
     status = make_error(Code::kInvalidArgument, "syntax error in: " + statement.substr(0, 60));
-  } else if (struck_by(FaultKind::kErrors)) {
-    job->ran = true;
+  } else if (has_active_fault(FaultKind::kErrors)) {
+    execution->work_started = true;
     end = NodeEvent::End::kError;
     status = make_error(Code::kInternal, "the node is out of order");
   } else {
-    nodes::Job asked;
-    asked.id = job->id;
-    asked.work_us = job->hint.work_us;
-    asked.threads = job->hint.threads;
-    asked.io = job->hint.io;
-    asked.memory_mb = job->hint.memory_mb;
-    asked.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
-    if (config_.heeds_grants) asked.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
+    nodes::Job engine_job;
+    engine_job.id = execution->id;
+    engine_job.work_us = execution->hint.work_us;
+    engine_job.threads = execution->hint.threads;
+    engine_job.io_fraction = execution->hint.io_fraction;
+    engine_job.memory_mb = execution->hint.memory_mb;
+    engine_job.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
+    if (config_.honors_grants) engine_job.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
     const sql::StatementInfo info = sql::inspect(statement);
     if (!info.tables.empty())
-      asked.group = static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
-    const bool had_fallen = engine_.fallen();
-    if (engine_.admit(clock_.now(), asked) == Admission::kTooMany) {
+      engine_job.table_group =
+          static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
+    const bool had_collapsed = engine_.collapsed();
+    if (engine_.admit(clock_.now(), engine_job) == Admission::kTooManySessions) {
       end = NodeEvent::End::kRefused;
       status = make_error(Code::kResourceExhausted, "too many sessions", kNodeDomain, kNotAdmitted);
     } else {
-      job->ran = true;
-      jobs_[job->id] = job;
-      schedule();
-      schedule_notes();
+      execution->work_started = true;
+      executions_[execution->id] = execution;
+      schedule_completion();
+      schedule_progress_notes();
     }
-    if (engine_.fallen() && !had_fallen) record(*job, NodeEvent::Kind::kFell, end);
-    if (job->ran) {
-      if (mishap == Mishap::kReset) {  // in the middle of the work
-        const auto half = static_cast<TimeUs>(job->hint.work_us / job->hint.threads / 2);
-        clock_.call_after(half, [job] { job->changed.set(); });
-        co_await job->changed.wait();
-        run_engine();
-        engine_.remove(clock_.now(), job->id);
-        jobs_.erase(job->id);
-        schedule();
-        record(*job, NodeEvent::Kind::kEnded, NodeEvent::End::kBroken);
-        co_return;  // the call is left unfinished, and so broken off
+    if (engine_.collapsed() && !had_collapsed) record(*execution, NodeEvent::Kind::kFell, end);
+    if (execution->work_started) {
+      if (fault == StatementFault::kReset) {  // after half of the work
+        const auto half_duration_us =
+            static_cast<TimeUs>(execution->hint.work_us / execution->hint.threads / 2);
+        clock_.call_after(half_duration_us, [execution] { execution->state_changed.set(); });
+        co_await execution->state_changed.wait();
+        advance_engine();
+        engine_.remove(clock_.now(), execution->id);
+        executions_.erase(execution->id);
+        schedule_completion();
+        record(*execution, NodeEvent::Kind::kEnded, NodeEvent::End::kBroken);
+        co_return;  // a call that is destroyed without finish() is reset
       }
-      const bool worked = co_await work(job);
-      if (worked) {
-        if (engine_.fallen() || mishap == Mishap::kLostAnswer) {
-          hung = true;
-        } else if (mishap == Mishap::kError) {
+      const bool completed = co_await wait_for_completion(execution);
+      if (completed) {
+        if (engine_.collapsed() || fault == StatementFault::kLostResponse) {
+          never_respond = true;
+        } else if (fault == StatementFault::kError) {
           end = NodeEvent::End::kError;
           status = make_error(Code::kInternal, "the query failed");
-        } else if (update) {
+        } else if (is_update) {
           tables_->define(statement);
           fsql::DoPutUpdateResult result;
-          result.set_record_count(job->hint.rows);
+          result.set_record_count(execution->hint.rows);
           flight::PutResult put;
           put.set_app_metadata(result.SerializeAsString());
-          last = put.SerializeAsString();
-        } else if (plans) {
-          last = plan_answer(statement, content_of(statement).schema(), prepares);
+          final_message = put.SerializeAsString();
+        } else if (is_plan) {
+          final_message = plan_response(statement, content_for(statement).schema(), as_prepared_statement);
         } else {
-          const bool sent = co_await send_rows(call, content_of(statement), mishap == Mishap::kBreakStream);
-          if (!sent) {
-            record(*job, NodeEvent::Kind::kEnded,
-                   job->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kBroken);
+          const bool complete =
+              co_await send_rows(call, content_for(statement), fault == StatementFault::kBreakStream);
+          if (!complete) {
+            record(*execution, NodeEvent::Kind::kEnded,
+                   execution->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kBroken);
             co_return;
           }
         }
       }
     }
   }
-  while (hung && !job->cancelled) co_await job->changed.wait();
-  if (job->cancelled) end = NodeEvent::End::kCancelled;
-  record(*job, NodeEvent::Kind::kEnded, end);
-  if (!job->cancelled) co_await finish(call, std::move(status), std::move(last), job.get());
+  while (never_respond && !execution->cancelled) co_await execution->state_changed.wait();
+  if (execution->cancelled) end = NodeEvent::End::kCancelled;
+  record(*execution, NodeEvent::Kind::kEnded, end);
+  if (!execution->cancelled)
+    co_await finish(call, std::move(status), std::move(final_message), execution.get());
 }
 
-Content StandIn::content_of(const std::string& statement) const {
+Content StandIn::content_for(const std::string& statement) const {
   const sql::StatementInfo info = sql::inspect(statement);
   return Content(statement, info.tables.empty() ? 0 : tables_->added(info.tables[0]));
 }
 
-Awaitable<bool> StandIn::send_rows(CallPtr call, Content content, bool break_off) {
+Awaitable<bool> StandIn::send_rows(CallPtr call, Content content, bool reset_after_first_batch) {
   std::string bytes = flight_data(arrowipc::encode_schema(content.schema()));
   bool written = co_await call->write(std::move(bytes));
-  int64_t sent = 0;
-  const auto most = std::clamp<int64_t>(
-      static_cast<int64_t>(config_.batch_bytes / (content.row_bytes() + kRowBytes)), 1, kMostBatchRows);
+  int64_t rows_sent = 0;
+  const auto batch_rows = std::clamp<int64_t>(
+      static_cast<int64_t>(config_.batch_bytes / (content.min_text_bytes() + kFixedRowBytes)), 1,
+      kMaxBatchRows);
   do {
-    const int64_t count = std::min(most, content.rows() - sent);
-    bytes = flight_data(arrowipc::encode_batch(content.schema(), content.batch(sent, count)));
+    const int64_t count = std::min(batch_rows, content.rows() - rows_sent);
+    bytes = flight_data(arrowipc::encode_batch(content.schema(), content.batch(rows_sent, count)));
     if (written) written = co_await call->write(std::move(bytes));
-    sent += count;
-  } while (written && !break_off && sent < content.rows());
-  co_return written && !break_off;
+    rows_sent += count;
+  } while (written && !reset_after_first_batch && rows_sent < content.rows());
+  co_return written && !reset_after_first_batch;
 }
 
 }  // namespace sablelink::nodes
--- a/src/nodes/stand_in.h
+++ b/src/nodes/stand_in.h
@@ -1,5 +1,6 @@
-// A stand-in for an analytic engine: speaks Flight SQL, takes the time that its model says, and fails as it
-// is told to. Keeps real time by timers, without burning CPU.
+// A stand-in node: emulates an analytic engine that serves Flight SQL. Statements take as long as the engine
+// model (nodes/engine.h) computes, and faults can be injected. It waits on timers and doesn't use the CPU for
+// the emulated work.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,58 +19,58 @@
 
 namespace sablelink::nodes {
 
-// Everything happens on one strand.
+// Not thread-safe: everything runs on one strand.
 class StandIn {
  public:
-  // The clock must outlive the node; the recorder may be none. Nodes of one fleet share their tables; one
-  // that is given none has some of its own.
+  // The clock must outlive the node. The recorder may be nullptr. Nodes of one fleet share their tables;
+  // without tables the node creates its own.
   StandIn(NodeConfig config, Clock& clock, Recorder* recorder, std::shared_ptr<Tables> tables = nullptr);
   ~StandIn();
 
   rpc::Awaitable<void> handle(std::shared_ptr<rpc::ServerCall> call);
 
-  // Admits nothing new from now on.
+  // Rejects new statements from now on.
   void drain() { draining_ = true; }
-  // Adds a fault that begins now.
-  void begin_fault(FaultKind kind, TimeUs for_us, double value);
-  size_t open() const { return jobs_.size(); }
-  bool fallen() const { return engine_.fallen(); }
+  // Starts a fault now.
+  void begin_fault(FaultKind kind, TimeUs duration_us, double value);
+  size_t open_executions() const { return executions_.size(); }
+  bool fallen() const { return engine_.collapsed(); }
 
  private:
-  struct Job;
+  struct Execution;
   using CallPtr = std::shared_ptr<rpc::ServerCall>;
 
-  // prepares: a plan is told as a prepared statement.
-  rpc::Awaitable<void> execute(CallPtr call, std::string statement, dispatch::ExecutionKind task,
-                               bool prepares);
-  rpc::Awaitable<bool> work(std::shared_ptr<Job> job);
-  Content content_of(const std::string& statement) const;
-  rpc::Awaitable<bool> send_rows(CallPtr call, Content content, bool break_off);
-  rpc::Awaitable<void> finish(CallPtr call, rpc::Status status, std::optional<std::string> last,
-                              const Job* job);
-  bool struck_by(FaultKind kind) const;
+  // as_prepared_statement: the response to a plan is a prepared statement instead of a schema.
+  rpc::Awaitable<void> execute(CallPtr call, std::string statement, dispatch::ExecutionKind kind,
+                               bool as_prepared_statement);
+  rpc::Awaitable<bool> wait_for_completion(std::shared_ptr<Execution> execution);
+  Content content_for(const std::string& statement) const;
+  rpc::Awaitable<bool> send_rows(CallPtr call, Content content, bool reset_after_first_batch);
+  rpc::Awaitable<void> finish(CallPtr call, rpc::Status status, std::optional<std::string> final_message,
+                              const Execution* execution);
+  bool has_active_fault(FaultKind kind) const;
   void apply_faults();
-  void schedule();
-  void run_engine();
-  void schedule_notes();
-  LoadReport reported();
-  void record(const Job& job, NodeEvent::Kind kind, NodeEvent::End end);
+  void schedule_completion();
+  void advance_engine();
+  void schedule_progress_notes();
+  LoadReport current_report();
+  void record(const Execution& execution, NodeEvent::Kind kind, NodeEvent::End end);
 
   const NodeConfig config_;
   Clock& clock_;
   Recorder* recorder_;
   const std::shared_ptr<Tables> tables_;
-  const TimeUs started_;
+  const TimeUs started_at_;
   Engine engine_;
   std::vector<Fault> faults_;
   bool draining_ = false;
-  uint64_t last_job_ = 0;
-  std::map<uint64_t, std::shared_ptr<Job>> jobs_;  // in the engine
-  TimeUs armed_for_ = 0;
-  bool notes_armed_ = false;
+  uint64_t last_execution_id_ = 0;
+  std::map<uint64_t, std::shared_ptr<Execution>> executions_;  // running or queued in the engine, by id
+  TimeUs completion_timer_at_ = 0;                             // 0: no timer is pending
+  bool progress_timer_pending_ = false;
   LoadReport report_;
-  TimeUs report_at_ = 0;
-  std::shared_ptr<StandIn*> self_;
+  TimeUs report_refreshed_at_ = 0;
+  std::shared_ptr<StandIn*> self_;  // shared with callbacks; points to nullptr after destruction
 };
 
 }  // namespace sablelink::nodes
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -156,7 +156,7 @@
       "\"5s\"\nfor = \"2s\"\n",
       "n.toml");
   EXPECT_EQ(n.engine.cores, 4);
-  EXPECT_EQ(n.faults.at(0).from_us, 5'000'000);
+  EXPECT_EQ(n.faults.at(0).start_us, 5'000'000);
   EXPECT_THROW(nodes::parse_node_config("[node]\nname = \"n\"\n", "n.toml"), ConfigError);
 }
 
