--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -15,7 +15,7 @@
 constexpr size_t kMinMessageBytes = 4096;
 constexpr size_t kMaxMessageBytes = size_t{1} << 30;
 
-// ---- Names of classes, zones and so on, which other keys refer to
+// ---- References by name to classes, zones, engine types and tenants
 
 int index_of(const Section& section, std::string_view key, const std::vector<std::string>& names,
              const std::string& name) {
@@ -24,7 +24,7 @@
   return static_cast<int>(it - names.begin());
 }
 
-// The index of the name at the key; 0 where the key is missing.
+// Returns the index of the name at the key; 0 if the key is missing.
 int read_index(Section& section, std::string_view key, const std::vector<std::string>& names) {
   return section.has(key) ? index_of(section, key, names, section.string(key)) : 0;
 }
@@ -37,7 +37,7 @@
   return indexes;
 }
 
-// Reads the name of a new item and appends it to those of the items before.
+// Reads the name of an array element, checks that no earlier element has it, and appends it to `names`.
 std::string read_unique_name(Section& section, std::vector<std::string>& names) {
   std::string name = section.string("name");
   if (name.empty()) section.fail("name", "is empty");
@@ -48,7 +48,7 @@
   return name;
 }
 
-// ---- Tables, in the order in which they are read
+// ---- Readers of the TOML tables. Tables that others refer to by name are read first.
 
 void read_zones(Section& root, GatewayConfig& config) {
   for (Section& zone : root.tables("zone")) {
@@ -155,7 +155,8 @@
   if (settings.retry_budget_enabled && settings.retry_budget_window_us <= settings.max_send_delay_us) {
     section.fail("budget_window", "must be greater than limits.dial_timeout");
   }
-  // An attempt decided on before the engine was known to drain may still be sent once its connection stands.
+  // An attempt assigned before the engine was known to drain may still be sent up to max_send_delay_us later,
+  // once a connection to the engine is established.
   if (settings.drain_grace_us < settings.max_send_delay_us) {
     section.fail("drain_grace", "must be at least limits.dial_timeout");
   }
@@ -295,7 +296,8 @@
   planning.max_waiters = section.integer("waiting", 1, 1'000'000, planning.max_waiters);
   planning.call_timeout_us = section.duration("time", planning.call_timeout_us);
   planning.max_wait_us = section.duration("wait", planning.max_wait_us);
-  // Until responses show its cost, a query is estimated at half of its class's latency objective.
+  // Until responses have shown what a planning call costs, it is estimated at half of its class's latency
+  // objective.
   const ClassSettings& planning_class = config.settings.classes[config.planning_class];
   if (planning.enabled && planning.call_timeout_us < planning_class.latency_objective_us) {
     section.fail("time", "must be at least the aim of its class: calls would be rejected at once");
--- a/src/config/gateway_config.h
+++ b/src/config/gateway_config.h
@@ -1,5 +1,5 @@
-// The configuration of a gateway, read from TOML. docs/operating.md lists every key; the keys are mapped to
-// the names used in the code here alone.
+// The configuration of a gateway, read from TOML. docs/operating.md lists every key. Only this component maps
+// the keys to the names used in the code.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 
 namespace sablelink::config {
 
-/// An analytic engine, as the configuration or the platform's endpoint list gives it.
+/// An analytic engine, as described by the configuration or by the platform's endpoint list.
 struct EngineConfig {
   std::string name;
   std::string address;  // "host:port"
@@ -27,7 +27,7 @@
   int zone = 0;           // index
   int engine_type = 0;    // index
   double size = 1;        // relative to the other engines
-  TimeUs started_at = 0;  // since 1970; 0: long ago
+  TimeUs started_at = 0;  // microseconds since 1970; 0: long ago
 };
 
 /// Limits of the Flight SQL server and of its connections to engines.
@@ -35,13 +35,13 @@
   size_t max_statement_bytes = 256u << 10;
   size_t max_message_bytes = 16u << 20;  // received or sent
   size_t max_open_requests_per_connection = 2'000;
-  size_t max_prepared_statements = 10'000;        // of all clients together
-  size_t max_prepared_bytes = 64u << 20;          // texts and bound parameters of the prepared statements
-  TimeUs prepared_idle_timeout_us = 600'000'000;  // a prepared statement unused for longer may be dropped
-  TimeUs response_margin_us = 25'000;             // kept of a client's time-out for the response's way back
-  TimeUs connect_timeout_us = 250'000;            // of a connection to an engine
-  TimeUs shutdown_grace_us = 30'000'000;  // requests in flight at a shutdown have this long to complete
-  size_t connections_per_engine = 1;      // a connection carries many requests
+  size_t max_prepared_statements = 10'000;        // total over all clients
+  size_t max_prepared_bytes = 64u << 20;          // texts and bound parameters of all prepared statements
+  TimeUs prepared_idle_timeout_us = 600'000'000;  // prepared statements unused for longer may be dropped
+  TimeUs response_margin_us = 25'000;             // subtracted from a client's timeout, to send the response
+  TimeUs connect_timeout_us = 250'000;            // for connecting to an engine
+  TimeUs shutdown_grace_us = 30'000'000;          // for requests in flight at a shutdown to complete
+  size_t connections_per_engine = 1;              // each connection multiplexes many requests
 };
 
 struct GatewayConfig {
@@ -56,15 +56,15 @@
   FlightSqlLimits flight_sql;
   schemas::SchemaCacheLimits schema_cache;
   schemas::PlanningSettings planning;
-  int planning_class = 0;  // index of the class of planning calls, where these are enabled
+  int planning_class = 0;  // index of the class of planning calls, if planning.enabled
   SelectorSettings selectors;
   std::vector<EngineConfig> engines;
 
-  /// The index of the class; 0 where no class has the name.
+  /// Returns the index of the class with this name; 0 if there is none.
   int class_index(std::string_view class_name) const;
 };
 
-/// Reads and validates a whole configuration. file is only used in messages. Throws ConfigError.
+/// Reads and validates a whole configuration. `file` is used in error messages only. Throws ConfigError.
 GatewayConfig parse_gateway_config(std::string_view text, const std::string& file);
 
 }  // namespace sablelink::config
--- a/src/config/section.cpp
+++ b/src/config/section.cpp
@@ -11,7 +11,7 @@
 namespace sablelink::config {
 namespace {
 
-// Keeps conversions to integers within their range; far above any sensible setting.
+// Keeps conversions to integers within the range of their types. Far above any sensible setting.
 constexpr double kMaxScaledValue = 1e15;
 
 struct Unit {
@@ -45,8 +45,8 @@
   }
 }
 
-// Microseconds or bytes from a number that one of the units follows. None for anything else, for negative
-// values and for values over kMaxScaledValue.
+// Parses a number followed by one of the units, and returns it scaled to microseconds or bytes. Returns
+// nothing for any other text, for negative values and for values over kMaxScaledValue.
 template <size_t kCount>
 std::optional<double> parse_with_unit(std::string_view text, const Unit (&units)[kCount]) {
   double value = 0;
@@ -71,28 +71,29 @@
 }  // namespace
 
 struct Section::Table {
-  // Shared by all sections of the document.
+  // The whole document, shared by all its sections.
   std::shared_ptr<toml::table> document;
   std::string file;
-  // This section's table in the document; nullptr where it is missing.
+  // This section's table in the document; nullptr if it is missing.
   const toml::table* contents = nullptr;
+  // Where the table begins; for a missing table, where its parent begins.
   toml::source_region position;
-  // Of this section in the document, with a dot at its end; empty for the root.
+  // The keys and indexes that lead to this table, ending with a dot; empty for the root.
   std::string path;
   std::set<std::string, std::less<>> read_keys;
 
-  // nullptr where the key is missing.
+  // Returns nullptr if the key is missing.
   const toml::node* find(std::string_view key) const {
     return contents == nullptr ? nullptr : contents->get(key);
   }
 
-  // As find(), and the key counts as known from now on.
+  // Like find(), and marks the key as read, for reject_unknown_keys().
   const toml::node* read(std::string_view key) {
     read_keys.emplace(key);
     return find(key);
   }
 
-  // A section for the table at this key or array element; nullptr for a missing table.
+  // Creates the section for the table at this key or array element. node is nullptr if the table is missing.
   std::shared_ptr<Table> child(const std::string& name, const toml::node* node) const {
     auto table = std::make_shared<Table>();
     table->document = document;
--- a/src/config/selectors.cpp
+++ b/src/config/selectors.cpp
@@ -10,7 +10,7 @@
 namespace sablelink::config {
 namespace {
 
-// Keeps group numbers made from a hash well within those that a configuration may give.
+// Limits group numbers derived from a hash to 31 bits, well within the range that a configuration may use.
 constexpr int kTableGroupHashShift = 33;
 
 bool matches(std::string_view pattern, std::string_view text) {
@@ -74,8 +74,8 @@
   return name == table.name || name == with_schema || name == table.catalog + "." + with_schema;
 }
 
-// The group of the first table named. One that isn't configured gets a group of its own, so that queries on
-// it stay together all the same.
+// Returns the group of the first table in the statement. A table that isn't configured gets a group derived
+// from its name, so that queries on it still share a group.
 int64_t table_group(const SelectorSettings& settings, const sql::StatementInfo& statement) {
   if (statement.tables.empty()) return -1;
   const std::string& name = statement.tables.front();
@@ -85,7 +85,7 @@
   return static_cast<int64_t>(hash(name) >> kTableGroupHashShift);
 }
 
-// The first tenant where the header is missing or names none.
+// Returns 0, the first tenant, if the header is missing or doesn't contain a configured tenant.
 int tenant_by_header(const SelectorSettings& settings, const RequestAttributes& request) {
   const std::string_view name = header_value(request, settings.tenant_header);
   const auto it = std::find(settings.tenants.begin(), settings.tenants.end(), name);
--- a/src/config/selectors.h
+++ b/src/config/selectors.h
@@ -1,6 +1,6 @@
-// Classifies a request: its class, tenant, ordering key and table group follow from the statement, the user
-// and the headers. No I/O and no state. Selectors are tried in the order of the configuration; the first
-// match decides.
+// Classifies a request: derives its class, tenant, ordering key and table group from the statement, the user
+// and the headers. Selectors are tried in the order of the configuration, and the first match applies.
+// Stateless and free of I/O.
 #pragma once
 
 #include <cstdint>
@@ -15,27 +15,27 @@
 
 namespace sablelink::config {
 
-/// What a request is classified by; a view of the request, whose parts must outlive it.
+/// The properties that classify a request: a view of the request, which must outlive it.
 struct RequestAttributes {
   std::string_view user;
-  /// Names in lower case; nullptr: no headers.
+  /// Names are in lower case; nullptr: no headers.
   const std::vector<std::pair<std::string, std::string>>* headers = nullptr;
   const sql::StatementInfo* statement = nullptr;  // required
 };
 
-/// Matches a request where every condition holds; an empty condition always does. In conditions on strings a
-/// '*' at the end matches any rest.
+/// Matches a request that meets all conditions. An empty condition is always met. A '*' at the end of a
+/// pattern matches any remaining text.
 struct Selector {
   std::string name;
-  std::vector<std::string> users;              // one of them made the request
-  std::vector<sql::StatementKind> kinds;       // the statement is of one of them
-  std::vector<std::string> tables;             // the statement names one of them
-  std::map<std::string, std::string> headers;  // all of them, value by name
+  std::vector<std::string> users;              // patterns: the user matches one of them
+  std::vector<sql::StatementKind> kinds;       // the statement is of one of these kinds
+  std::vector<std::string> tables;             // patterns: a table of the statement matches one of them
+  std::map<std::string, std::string> headers;  // patterns by header name: all of them match
   int class_index = 0;
-  std::optional<int> tenant;  // index; none: the tenant header decides
+  std::optional<int> tenant;  // index; none: the tenant header determines it
 };
 
-/// Tables of one group are cached together by engines.
+/// A table and its group. Engines cache the tables of a group together.
 struct Table {
   std::string catalog;
   std::string schema;
@@ -44,16 +44,16 @@
   bool operator==(const Table&) const = default;
 };
 
-/// The parts of a gateway's configuration that requests are classified by. An empty header name: no header is
-/// read.
+/// The parts of a gateway's configuration that determine how requests are classified. An empty header name
+/// means that no such header is read.
 struct SelectorSettings {
   std::vector<Selector> selectors;
   int default_class = 0;             // index
-  std::vector<std::string> tenants;  // names; the index is the tenant's number
-  std::string tenant_header;         // the tenant's name
-  std::string key_header;            // the key that orders requests
-  std::string cost_header;           // the estimated work in microseconds
-  std::string memory_header;         // the estimated memory in MB
+  std::vector<std::string> tenants;  // names, by tenant index
+  std::string tenant_header;         // contains the tenant's name
+  std::string key_header;            // contains the ordering key
+  std::string cost_header;           // contains the estimated work in microseconds
+  std::string memory_header;         // contains the estimated memory in MB
   std::vector<Table> tables;
 };
 
@@ -61,13 +61,13 @@
   int class_index = 0;
   int tenant = 0;            // index
   uint64_t key = 0;          // a hash of the ordering key; 0: none
-  int64_t table_group = -1;  // -1: the statement names no table
+  int64_t table_group = -1;  // -1: the statement has no table
   std::optional<double> estimated_cost_us;
   double estimated_memory_mb = 0;              // 0: unknown
-  const Selector* matched_selector = nullptr;  // part of the settings; nullptr: none matched
+  const Selector* matched_selector = nullptr;  // points into the settings; nullptr: none matched
 };
 
-/// Never fails: header values that can't be read count as missing.
+/// Never fails: header values that can't be parsed count as missing.
 Classification classify(const SelectorSettings& settings, const RequestAttributes& request);
 
 }  // namespace sablelink::config
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Configurations: valid ones are read, errors name file, line and key.
+// Reading of configurations, and classification of requests by their selectors.
 #include <gtest/gtest.h>
 
 #include "config/gateway_config.h"
@@ -7,7 +7,7 @@
 namespace sablelink::config {
 namespace {
 
-constexpr const char* kGood = R"([gateway]
+constexpr const char* kValidConfig = R"([gateway]
 name = "desk-1"
 listen = "127.0.0.1:4000"
 instances = 3
@@ -78,7 +78,7 @@
 )";
 
 TEST(GatewayConfig, ValidText_IsReadCompletely) {
-  const GatewayConfig config = parse_gateway_config(kGood, "desk.toml");
+  const GatewayConfig config = parse_gateway_config(kValidConfig, "desk.toml");
   EXPECT_EQ(config.name, "desk-1");
   EXPECT_EQ(config.settings.zone, 1);
   EXPECT_EQ(config.settings.gateway_count, 3);
@@ -94,7 +94,8 @@
   EXPECT_EQ(config.engines.at(1).state, EndpointState::kDraining);
 }
 
-std::string error_of(std::string text, const std::string& from = "", const std::string& to = "") {
+// Replaces `from` by `to` in the text and returns the error message of reading it; empty if it is valid.
+std::string error_message_for(std::string text, const std::string& from = "", const std::string& to = "") {
   if (!from.empty()) {
     const size_t at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
@@ -109,33 +110,35 @@
 }
 
 TEST(GatewayConfig, InvalidText_NamesFileLineAndKey) {
-  EXPECT_EQ(error_of(kGood, "instances = 3", "instances = \"three\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "instances = 3", "instances = \"three\""),
             "desk.toml:4: gateway.instances: must be an integer, not a string");
-  EXPECT_EQ(error_of(kGood, "instances = 3", "instants = 3"),
+  EXPECT_EQ(error_message_for(kValidConfig, "instances = 3", "instants = 3"),
             "desk.toml:5: gateway.index: 1 is not from 0 to 0");
-  EXPECT_EQ(error_of(kGood, "max_open = 50", "max_opne = 50"),
+  EXPECT_EQ(error_message_for(kValidConfig, "max_open = 50", "max_opne = 50"),
             "desk.toml:8: limits.max_opne: is not a known key");
-  EXPECT_EQ(error_of(kGood, "max_open = 50", "max_open = 0"),
+  EXPECT_EQ(error_message_for(kValidConfig, "max_open = 50", "max_open = 0"),
             "desk.toml:8: limits.max_open: 0 is not from 1 to 1000000");
-  EXPECT_EQ(error_of(kGood, "drain_grace = \"500ms\"", "drain_grace = 500"),
+  EXPECT_EQ(error_message_for(kValidConfig, "drain_grace = \"500ms\"", "drain_grace = 500"),
             "desk.toml:11: rules.drain_grace: must be a time such as \"250ms\" or \"1.5s\"");
-  EXPECT_EQ(error_of(kGood, "drain_grace = \"500ms\"", "drain_grace = \"100ms\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "drain_grace = \"500ms\"", "drain_grace = \"100ms\""),
             "desk.toml:11: rules.drain_grace: must be at least limits.dial_timeout");
-  EXPECT_EQ(error_of(kGood, "budget_window = \"10s\"", "budget_window = \"250ms\"").substr(14),
-            "rules.budget_window: must be greater than limits.dial_timeout");
-  EXPECT_EQ(error_of(kGood, "zone = \"west\"", "zone = \"north\""),
+  EXPECT_EQ(
+      error_message_for(kValidConfig, "budget_window = \"10s\"", "budget_window = \"250ms\"").substr(14),
+      "rules.budget_window: must be greater than limits.dial_timeout");
+  EXPECT_EQ(error_message_for(kValidConfig, "zone = \"west\"", "zone = \"north\""),
             "desk.toml:6: gateway.zone: 'north' isn't configured");
-  EXPECT_EQ(error_of(kGood, "repeat = \"unsafe\"", "repeat = \"maybe\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "repeat = \"unsafe\"", "repeat = \"maybe\""),
             "desk.toml:32: class[1].repeat: 'maybe' is not one of: safe, keyed, unsafe");
-  EXPECT_EQ(error_of(kGood, "class = \"load\"", "class = \"loads\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "class = \"load\"", "class = \"loads\""),
             "desk.toml:51: select[0].class: 'loads' isn't configured");
-  EXPECT_EQ(error_of(kGood, "name = \"n2\"", "name = \"n1\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "name = \"n2\"", "name = \"n1\""),
             "desk.toml:64: node[1].name: 'n1' is used more than once");
-  EXPECT_EQ(error_of(kGood, "address = \"127.0.0.1:5002\"", "address = \"127.0.0.1:5001\""),
+  EXPECT_EQ(error_message_for(kValidConfig, "address = \"127.0.0.1:5002\"", "address = \"127.0.0.1:5001\""),
             "desk.toml:65: node[1].address: '127.0.0.1:5001' is used more than once");
-  EXPECT_EQ(error_of("[gateway]\nname = \n").substr(0, 12), "desk.toml:2:");
-  EXPECT_NE(error_of("[gateway]\nname = \"x\"\n").find("at least one [[class]]"), std::string::npos);
-  EXPECT_NE(error_of(kGood, "[rules]", "[[rules]]").find("must be a table"), std::string::npos);
+  EXPECT_EQ(error_message_for("[gateway]\nname = \n").substr(0, 12), "desk.toml:2:");
+  EXPECT_NE(error_message_for("[gateway]\nname = \"x\"\n").find("at least one [[class]]"), std::string::npos);
+  EXPECT_NE(error_message_for(kValidConfig, "[rules]", "[[rules]]").find("must be a table"),
+            std::string::npos);
 }
 
 TEST(ParseDuration, OnlyNumbersWithUnits_AreRead) {
@@ -150,13 +153,13 @@
 }
 
 TEST(NodeConfig, EngineAndFaults_AreRead) {
-  const nodes::NodeConfig n = nodes::parse_node_config(
+  const nodes::NodeConfig config = nodes::parse_node_config(
       "[node]\nname = \"n\"\nlisten = \"127.0.0.1:0\"\n[engine]\ncores = 4\n[[fault]]\nkind = \"hang\"\nfrom "
       "= "
       "\"5s\"\nfor = \"2s\"\n",
       "n.toml");
-  EXPECT_EQ(n.engine.cores, 4);
-  EXPECT_EQ(n.faults.at(0).start_us, 5'000'000);
+  EXPECT_EQ(config.engine.cores, 4);
+  EXPECT_EQ(config.faults.at(0).start_us, 5'000'000);
   EXPECT_THROW(nodes::parse_node_config("[node]\nname = \"n\"\n", "n.toml"), ConfigError);
 }
 
@@ -171,7 +174,7 @@
     request.statement = &info;
     return classify(config_.selectors, request);
   }
-  GatewayConfig config_ = parse_gateway_config(kGood, "desk.toml");
+  GatewayConfig config_ = parse_gateway_config(kValidConfig, "desk.toml");
 };
 
 TEST_F(Classify, FirstSelectorWithAllConditions_Decides) {
