--- a/src/badday/day.h
+++ b/src/badday/day.h
@@ -1,6 +1,6 @@
-// Drives a bad day: starts gateways and nodes as processes, sends the traffic through Flight SQL clients,
-// lets the troubles happen, and hands the records to the auditor. What it says of gateways is only what it
-// did to them itself.
+// Runs a fault drill: starts gateways and nodes as processes, sends the traffic through Flight SQL clients,
+// executes the scripted events, and passes the records to the auditor. The records about gateways contain
+// only what the drill itself did to them, not what the gateways report.
 #pragma once
 
 #include <string>
@@ -13,13 +13,13 @@
 
 struct DayOptions {
   std::string program;  // path of this program
-  std::string folder;   // for configurations, records and logs; must exist
+  std::string folder;   // the directory for configurations, records and logs; must exist
 };
 
 struct DayResult {
   audit::AuditSettings settings;
   audit::Report report;
-  std::string trouble;  // what went wrong with the day itself, so that it proves nothing; empty: nothing
+  std::string trouble;  // the first failure of the drill itself, which makes its result invalid; empty: none
 };
 
 DayResult run_day(const Script& script, const DayOptions& options, const service::System& system);
--- a/src/badday/process.h
+++ b/src/badday/process.h
@@ -1,4 +1,4 @@
-// Child processes of the bad day: this same program as a gateway or a node.
+// Child processes of the fault drill, which run this program as a gateway or a node.
 #pragma once
 
 #include <sys/types.h>
@@ -11,36 +11,37 @@
 
 namespace sablelink::badday {
 
-/// A child process can't be started.
+/// Thrown when a child process can't be started.
 struct ProcessError : Error {
   using Error::Error;
 };
 
 class Process {
  public:
-  // Starts the program with the arguments; its standard error is appended to the log file. Throws
+  // Starts the program with the arguments and appends its standard error to the log file. Throws
   // ProcessError.
-  Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& log);
-  ~Process();  // kills it
+  Process(const std::string& program, const std::vector<std::string>& arguments, const std::string& log_path);
+  ~Process();  // kills the process if it is still running
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  // Waits until it has said "ready"; false where it ended or the time is up.
-  bool wait_ready(TimeUs within);
+  // Waits until the process prints the line "ready". Returns false if it exits before or the timeout expires.
+  bool wait_ready(TimeUs timeout_us);
   void signal(int number);
-  // Waits for its end; false where the time is up. status gets what waitpid tells.
-  bool wait_end(TimeUs within, int* status = nullptr);
+  // Waits until the process exits; returns false if the timeout expires. status receives the wait status of
+  // waitpid().
+  bool wait_end(TimeUs timeout_us, int* status = nullptr);
   void kill();
   pid_t pid() const { return pid_; }
 
  private:
   pid_t pid_ = -1;
-  int out_ = -1;
-  bool ended_ = false;
+  int stdout_fd_ = -1;
+  bool exited_ = false;
 };
 
-// A loopback address, "host:port", that nobody listens on now. It may be taken before its use, which the
-// process then reports by not getting ready.
+// Returns a loopback address, "host:port", with a port that is free now. Another process may bind the port
+// before it is used; the process started on it then fails to become ready.
 std::string free_address();
 
 }  // namespace sablelink::badday
--- a/src/badday/script.cpp
+++ b/src/badday/script.cpp
@@ -9,20 +9,20 @@
 
 Traffic read_traffic(Section& s, const config::GatewayConfig& gateway) {
   Traffic t;
-  t.cls = s.string("class");
+  t.class_name = s.string("class");
   const auto& names = gateway.class_names;
-  if (std::find(names.begin(), names.end(), t.cls) == names.end())
-    s.fail("class", "'" + t.cls + "' isn't configured");
-  t.share = s.number("share", 0, 1);
-  t.work_us = static_cast<double>(s.duration("work"));
-  t.spread = s.number("spread", 0, 3, t.spread);
+  if (std::find(names.begin(), names.end(), t.class_name) == names.end())
+    s.fail("class", "'" + t.class_name + "' isn't configured");
+  t.request_fraction = s.number("share", 0, 1);
+  t.mean_work_us = static_cast<double>(s.duration("work"));
+  t.work_sigma = s.number("spread", 0, 3, t.work_sigma);
   t.threads = s.number("threads", 0.1, 100, 1);
   t.memory_mb = s.number("memory_mb", 0, 1e6, t.memory_mb);
   t.rows = s.integer("rows", 0, 10'000'000, t.rows);
   t.update = s.boolean("update", false);
-  t.keys = static_cast<int>(s.integer("keys", 0, 1'000'000, 0));
-  t.leaves = s.number("leaves", 0, 1, 0);
-  t.tries = static_cast<int>(s.integer("tries", 1, 10, 1));
+  t.ordering_key_count = static_cast<int>(s.integer("keys", 0, 1'000'000, 0));
+  t.cancel_fraction = s.number("leaves", 0, 1, 0);
+  t.max_submissions = static_cast<int>(s.integer("tries", 1, 10, 1));
   s.reject_unknown_keys();
   return t;
 }
@@ -38,7 +38,7 @@
                            {"fault", Kind::kFault}},
                           std::nullopt);
   e.at = s.duration("at");
-  if (e.kind != Kind::kDeploy) e.for_us = s.duration("for");
+  if (e.kind != Kind::kDeploy) e.duration_us = s.duration("for");
   if (e.kind == Kind::kDeploy || e.kind == Kind::kKillNode || e.kind == Kind::kFault) {
     for (const std::string& number : s.strings("nodes")) {
       const int n = std::atoi(number.c_str());
@@ -50,7 +50,7 @@
   if (e.kind == Kind::kKillGateway)
     e.gateway = static_cast<int>(s.integer("gateway", 0, script.gateways - 1));
   if (e.kind == Kind::kDeploy) {
-    e.batch = static_cast<int>(s.integer("batch", 1, 100, 1));
+    e.batch_size = static_cast<int>(s.integer("batch", 1, 100, 1));
     e.drain_us = s.duration("drain", 1'000'000);
   }
   if (e.kind == Kind::kBurst || e.kind == Kind::kFault) e.value = s.number("value", 0, 1000, 1);
@@ -63,35 +63,36 @@
 
 const std::string& fault_name(nodes::FaultKind kind) {
   const auto& names = nodes::fault_kind_names();
-  return std::find_if(names.begin(), names.end(), [kind](const auto& w) { return w.second == kind; })->first;
+  return std::find_if(names.begin(), names.end(), [kind](const auto& entry) { return entry.second == kind; })
+      ->first;
 }
 
-std::string us(TimeUs value) { return "\"" + std::to_string(value) + "us\""; }
+std::string quoted_us(TimeUs value) { return "\"" + std::to_string(value) + "us\""; }
 
 }  // namespace
 
 Script parse_script(std::string_view text, const std::string& file) {
   Section root = Section::parse(text, file);
   Script out;
-  Section day = root.table("day");
-  out.length_us = day.duration("length", out.length_us);
-  out.gateways = static_cast<int>(day.integer("gateways", 1, 100, out.gateways));
-  out.nodes = static_cast<int>(day.integer("nodes", 1, 1000, out.nodes));
-  out.zones = static_cast<int>(day.integer("zones", 1, 100, 1));
-  out.rate = day.number("rate", 0.1, 1e6, out.rate);
-  out.seed = day.integer("seed", 0, INT64_MAX, 1);
-  day.reject_unknown_keys();
+  Section drill = root.table("day");
+  out.length_us = drill.duration("length", out.length_us);
+  out.gateways = static_cast<int>(drill.integer("gateways", 1, 100, out.gateways));
+  out.nodes = static_cast<int>(drill.integer("nodes", 1, 1000, out.nodes));
+  out.zones = static_cast<int>(drill.integer("zones", 1, 100, 1));
+  out.rate = drill.number("rate", 0.1, 1e6, out.rate);
+  out.seed = drill.integer("seed", 0, INT64_MAX, 1);
+  drill.reject_unknown_keys();
   out.gateway_template = root.string("gateway_config");
   out.node_template = root.string("node_config");
   out.gateway = config::parse_gateway_config(out.gateway_template, file + " (gateway_config)");
   out.node = nodes::parse_node_config("[node]\nname = \"n\"\nlisten = \"l:0\"\n" + out.node_template,
                                       file + " (node_config)");
-  double shares = 0;
+  double fraction_sum = 0;
   for (Section& s : root.tables("traffic")) {
     out.traffic.push_back(read_traffic(s, out.gateway));
-    shares += out.traffic.back().share;
+    fraction_sum += out.traffic.back().request_fraction;
   }
-  if (shares < 0.999 || shares > 1.001) root.fail("traffic", "the shares must add up to 1");
+  if (fraction_sum < 0.999 || fraction_sum > 1.001) root.fail("traffic", "the shares must add up to 1");
   for (Section& s : root.tables("event")) out.events.push_back(read_event(s, out));
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const Event& a, const Event& b) { return a.at < b.at; });
@@ -124,8 +125,8 @@
     if (!with_faults || e.kind != Event::Kind::kFault) continue;
     for (const int n : e.nodes) {
       if ("n" + std::to_string(n) != node.name) continue;
-      out += "\n[[fault]]\nkind = \"" + fault_name(e.fault) + "\"\nfrom = " + us(e.at) +
-             "\nfor = " + us(e.for_us) + "\nvalue = " + std::to_string(e.value) + "\n";
+      out += "\n[[fault]]\nkind = \"" + fault_name(e.fault) + "\"\nfrom = " + quoted_us(e.at) +
+             "\nfor = " + quoted_us(e.duration_us) + "\nvalue = " + std::to_string(e.value) + "\n";
     }
   }
   return out;
