--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -224,7 +224,7 @@
           }
           case Event::Kind::kBurst:
           case Event::Kind::kFault:
-            break;  // implemented by rate_at() and by the configurations of the nodes
+            break;  // applied by rate_at() and by the configurations of the nodes
         }
       });
     }
--- a/src/nodes/content.cpp
+++ b/src/nodes/content.cpp
@@ -84,18 +84,18 @@
   for (const std::vector<sql::Token>& item : items) {
     ++number;
     if (item.empty()) continue;
-    const std::string_view word = item[0].text;
+    const std::string_view first_text = item[0].text;
     const std::string name = "column_" + std::to_string(number);
-    if (item.size() == 1 && word == "*")
+    if (item.size() == 1 && first_text == "*")
       add_all_columns();
-    else if (item.size() == 1 && equals_ignoring_case(word, "id"))
-      add_column(ColumnKind::kId, std::string(word), 0);
-    else if (item.size() == 1 && equals_ignoring_case(word, "label"))
-      add_column(ColumnKind::kLabel, std::string(word), 0);
-    else if (item.size() == 1 && equals_ignoring_case(word, "weight"))
-      add_column(ColumnKind::kWeight, std::string(word), 0);
-    else if (item.size() == 1 && equals_ignoring_case(word, "taken_at"))
-      add_column(ColumnKind::kTakenAt, std::string(word), 0);
+    else if (item.size() == 1 && equals_ignoring_case(first_text, "id"))
+      add_column(ColumnKind::kId, std::string(first_text), 0);
+    else if (item.size() == 1 && equals_ignoring_case(first_text, "label"))
+      add_column(ColumnKind::kLabel, std::string(first_text), 0);
+    else if (item.size() == 1 && equals_ignoring_case(first_text, "weight"))
+      add_column(ColumnKind::kWeight, std::string(first_text), 0);
+    else if (item.size() == 1 && equals_ignoring_case(first_text, "taken_at"))
+      add_column(ColumnKind::kTakenAt, std::string(first_text), 0);
     else if (item[0].kind == sql::TokenKind::kString)
       add_column(ColumnKind::kText, name, number);
     else
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -151,7 +151,7 @@
   return report_;
 }
 
-// ---- Time
+// ---- Timers of the engine model and of progress notes
 
 void StandIn::schedule_completion() {
   const std::optional<TimeUs> next_completion = engine_.next_completion();
