--- a/src/nodes/node_config.cpp
+++ b/src/nodes/node_config.cpp
@@ -65,17 +65,17 @@
 
 namespace {
 
-using StatementFault = StatementHint::StatementFault;
+using HintFault = StatementHint::HintFault;
 
-StatementFault statement_fault_by_name(std::string_view name) {
-  if (name == "error") return StatementFault::kError;
-  if (name == "statement") return StatementFault::kInvalidStatement;
-  if (name == "refuse") return StatementFault::kReject;
-  if (name == "hang") return StatementFault::kHang;
-  if (name == "lost") return StatementFault::kLostResponse;
-  if (name == "reset") return StatementFault::kReset;
-  if (name == "break") return StatementFault::kBreakStream;
-  return StatementFault::kNone;
+HintFault statement_fault_by_name(std::string_view name) {
+  if (name == "error") return HintFault::kError;
+  if (name == "statement") return HintFault::kInvalidStatement;
+  if (name == "refuse") return HintFault::kReject;
+  if (name == "hang") return HintFault::kHang;
+  if (name == "lost") return HintFault::kLostResponse;
+  if (name == "reset") return HintFault::kReset;
+  if (name == "break") return HintFault::kBreakStream;
+  return HintFault::kNone;
 }
 
 template <typename T>
@@ -123,7 +123,7 @@
     else if (key == "plan_mishap")
       hint.plan_fault = statement_fault_by_name(value);
     else if (key == "on_attempt")
-      read_number(value, -1, 255, hint.fault_attempt);
+      read_number(value, -1, 255, hint.on_attempt);
   }
   return hint;
 }
--- a/src/nodes/node_config.h
+++ b/src/nodes/node_config.h
@@ -58,7 +58,7 @@
   int64_t rows = 3;
   size_t min_text_bytes = 16;  // the minimum length of the values in text columns
   // A fault injected into a single statement, for tests.
-  enum class StatementFault {
+  enum class HintFault {
     kNone,
     kError,             // the call fails after the work
     kInvalidStatement,  // the call fails at once, with an error that blames the statement
@@ -68,12 +68,12 @@
     kReset,             // the call is reset in the middle of the work
     kBreakStream,       // the stream is reset after the first batch
   };
-  StatementFault fault = StatementFault::kNone;
-  int fault_attempt = -1;  // the number of the attempt that gets the fault; -1: all attempts
+  HintFault fault = HintFault::kNone;
+  int on_attempt = -1;     // the number of the attempt that gets the fault; -1: all attempts
   std::string valid_node;  // the name of the only node that accepts the statement; empty: all do
   // Work and fault of planning the statement, in place of those of its execution.
   double plan_work_us = 2'000;
-  StatementFault plan_fault = StatementFault::kNone;
+  HintFault plan_fault = HintFault::kNone;
 };
 StatementHint read_hint(std::string_view statement);
 
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -19,7 +19,7 @@
 using namespace flightsql;  // NOLINT: the stand-in speaks the same protocol
 using rpc::Awaitable;
 using rpc::Code;
-using StatementFault = StatementHint::StatementFault;
+using HintFault = StatementHint::HintFault;
 
 constexpr int64_t kMaxBatchRows = 1024;
 constexpr size_t kFixedRowBytes = 48;  // the approximate size of a row without its text column
@@ -56,7 +56,8 @@
 
 }  // namespace
 
-struct StandIn::Execution {
+// The execution or planning of one statement, and its call.
+struct StandIn::Run {
   uint64_t id = 0;
   CallPtr call;
   StatementHint hint;
@@ -125,19 +126,19 @@
   schedule_completion();
 }
 
-void StandIn::record(const Execution& execution, NodeEvent::Kind kind, NodeEvent::End end) {
+void StandIn::record(const Run& run, NodeEvent::Kind kind, NodeEvent::End end) {
   if (recorder_ == nullptr) return;
   NodeEvent event;
   event.kind = kind;
   event.at = clock_.now();
   event.node = config_.name;
-  event.request = execution.request;
-  event.tag = execution.tag;
-  event.attempt = execution.attempt;
-  event.update = execution.is_update;
-  event.ran = execution.work_started;
-  event.done = execution.work_completed;
-  event.work_us = execution.hint.work_us;
+  event.request = run.request;
+  event.tag = run.tag;
+  event.attempt = run.attempt;
+  event.update = run.is_update;
+  event.ran = run.work_started;
+  event.done = run.work_completed;
+  event.work_us = run.hint.work_us;
   event.end = end;
   recorder_->record(event);
 }
@@ -169,12 +170,12 @@
 
 void StandIn::advance_engine() {
   for (const uint64_t id : engine_.advance(clock_.now())) {
-    const auto it = executions_.find(id);
-    if (it == executions_.end()) continue;
-    const std::shared_ptr<Execution> execution = it->second;
-    executions_.erase(it);
-    execution->work_completed = true;
-    execution->state_changed.set();
+    const auto it = runs_.find(id);
+    if (it == runs_.end()) continue;
+    const std::shared_ptr<Run> run = it->second;
+    runs_.erase(it);
+    run->work_completed = true;
+    run->state_changed.set();
   }
 }
 
@@ -186,26 +187,26 @@
     if (node == nullptr) return;
     node->progress_timer_pending_ = false;
     node->advance_engine();
-    for (const auto& [id, execution] : node->executions_) {
+    for (const auto& [id, run] : node->runs_) {
       wire::ProgressNote note;
       note.set_kind(node->engine_.is_queued(id) ? wire::ProgressNote::WAIT : wire::ProgressNote::PROGRESS);
       note.set_value(node->engine_.is_queued(id) ? 1 : node->engine_.progress(id).value_or(0));
-      execution->progress_notes.assign(1, note);
-      execution->state_changed.set();
+      run->progress_notes.assign(1, note);
+      run->state_changed.set();
     }
-    if (!node->executions_.empty()) node->schedule_progress_notes();
+    if (!node->runs_.empty()) node->schedule_progress_notes();
   });
 }
 
 // ---- Calls
 
 Awaitable<void> StandIn::finish(CallPtr call, rpc::Status status, std::optional<std::string> final_message,
-                                const Execution* execution) {
+                                const Run* run) {
   NodeReport report;
   report.load = current_report();
-  if (execution != nullptr && status.ok()) {
-    report.work_us = execution->hint.work_us;
-    report.used_mb = execution->hint.memory_mb;
+  if (run != nullptr && status.ok()) {
+    report.work_us = run->hint.work_us;
+    report.used_mb = run->hint.memory_mb;
   }
   rpc::Metadata trailers;
   trailers.emplace_back(kLoadReportKey, encode_report(report));
@@ -292,18 +293,18 @@
 
 // Waits until the engine has completed the work and streams progress notes in the meantime. Returns false if
 // the call is cancelled before.
-Awaitable<bool> StandIn::wait_for_completion(std::shared_ptr<Execution> execution) {
-  while (!execution->work_completed && !execution->cancelled) {
-    for (const wire::ProgressNote& note : std::exchange(execution->progress_notes, {})) {
+Awaitable<bool> StandIn::wait_for_completion(std::shared_ptr<Run> run) {
+  while (!run->work_completed && !run->cancelled) {
+    for (const wire::ProgressNote& note : std::exchange(run->progress_notes, {})) {
       flight::FlightData data;
       data.set_app_metadata(note.SerializeAsString());
-      if (!execution->streams_progress) continue;  // only the streams of DoGet can carry progress notes
+      if (!run->streams_progress) continue;  // only the streams of DoGet can carry progress notes
       std::string bytes = data.SerializeAsString();
-      co_await execution->call->write(std::move(bytes));
+      co_await run->call->write(std::move(bytes));
     }
-    if (!execution->work_completed && !execution->cancelled) co_await execution->state_changed.wait();
+    if (!run->work_completed && !run->cancelled) co_await run->state_changed.wait();
   }
-  co_return !execution->cancelled;
+  co_return !run->cancelled;
 }
 
 Awaitable<void> StandIn::execute(CallPtr call, std::string statement, dispatch::ExecutionKind kind,
@@ -311,137 +312,132 @@
   const bool is_update = kind == dispatch::ExecutionKind::kUpdate;
   const bool is_plan = kind == dispatch::ExecutionKind::kPlan;
   const rpc::Metadata& metadata = call->metadata();
-  const auto execution = std::make_shared<Execution>();
-  execution->id = ++last_execution_id_;
-  execution->call = call;
-  execution->hint = read_hint(statement);
+  const auto run = std::make_shared<Run>();
+  run->id = ++last_run_id_;
+  run->call = call;
+  run->hint = read_hint(statement);
   if (is_plan) {
-    execution->hint.work_us = execution->hint.plan_work_us;
-    execution->hint.threads = execution->hint.memory_mb = 1;
-    execution->hint.io_fraction = 0;
-    execution->hint.fault = execution->hint.plan_fault;
+    run->hint.work_us = run->hint.plan_work_us;
+    run->hint.threads = run->hint.memory_mb = 1;
+    run->hint.io_fraction = 0;
+    run->hint.fault = run->hint.plan_fault;
   }
-  if (!execution->hint.valid_node.empty() && execution->hint.valid_node != config_.name)
-    execution->hint.fault = StatementFault::kInvalidStatement;
-  execution->request = rpc::find_value(metadata, kRequestKey);
-  execution->tag = rpc::find_value(metadata, kClientTagKey);
-  execution->attempt = find_number(metadata, kAttemptKey, 0);
-  execution->is_update = is_update;
-  execution->streams_progress = kind == dispatch::ExecutionKind::kQuery;
-  if (execution->hint.fault_attempt >= 0 && execution->hint.fault_attempt != execution->attempt)
-    execution->hint.fault = StatementFault::kNone;
-  StatementFault fault = execution->hint.fault;
+  if (!run->hint.valid_node.empty() && run->hint.valid_node != config_.name)
+    run->hint.fault = HintFault::kInvalidStatement;
+  run->request = rpc::find_value(metadata, kRequestKey);
+  run->tag = rpc::find_value(metadata, kClientTagKey);
+  run->attempt = find_number(metadata, kAttemptKey, 0);
+  run->is_update = is_update;
+  run->streams_progress = kind == dispatch::ExecutionKind::kQuery;
+  if (run->hint.on_attempt >= 0 && run->hint.on_attempt != run->attempt) run->hint.fault = HintFault::kNone;
+  HintFault fault = run->hint.fault;
   if (has_active_fault(FaultKind::kHang))
-    fault = StatementFault::kHang;
+    fault = HintFault::kHang;
   else if (has_active_fault(FaultKind::kErrors))
-    fault = StatementFault::kError;
+    fault = HintFault::kError;
   else if (has_active_fault(FaultKind::kRefuse))
-    fault = StatementFault::kReject;
+    fault = HintFault::kReject;
   else if (has_active_fault(FaultKind::kLostAnswers))
-    fault = StatementFault::kLostResponse;
+    fault = HintFault::kLostResponse;
 
   advance_engine();
-  record(*execution, NodeEvent::Kind::kArrived, NodeEvent::End::kAnswered);
-  call->on_cancelled([this, self = self_, execution] {
-    execution->cancelled = true;
+  record(*run, NodeEvent::Kind::kArrived, NodeEvent::End::kAnswered);
+  call->on_cancelled([this, self = self_, run] {
+    run->cancelled = true;
     if (*self != nullptr) {
-      engine_.remove(clock_.now(), execution->id);
-      executions_.erase(execution->id);
+      engine_.remove(clock_.now(), run->id);
+      runs_.erase(run->id);
       schedule_completion();
     }
-    execution->state_changed.set();
+    run->state_changed.set();
   });
 
   NodeEvent::End end = NodeEvent::End::kAnswered;
   rpc::Status status;
   std::optional<std::string> final_message;
   bool never_respond = false;
-  if (fault == StatementFault::kHang) {
+  if (fault == HintFault::kHang) {
     never_respond = true;
-  } else if (fault == StatementFault::kReject || draining_) {
+  } else if (fault == HintFault::kReject || draining_) {
     end = NodeEvent::End::kRefused;
     status = make_error(Code::kResourceExhausted, draining_ ? "draining" : "not admitted", kNodeDomain,
                         kNotAdmitted);
-  } else if (fault == StatementFault::kInvalidStatement) {
+  } else if (fault == HintFault::kInvalidStatement) {
     end = NodeEvent::End::kError;
     status = make_error(Code::kInvalidArgument, "syntax error in: " + statement.substr(0, 60));
   } else if (has_active_fault(FaultKind::kErrors)) {
-    execution->work_started = true;
+    run->work_started = true;
     end = NodeEvent::End::kError;
     status = make_error(Code::kInternal, "the node is out of order");
   } else {
-    nodes::Job engine_job;
-    engine_job.id = execution->id;
-    engine_job.work_us = execution->hint.work_us;
-    engine_job.threads = execution->hint.threads;
-    engine_job.io_fraction = execution->hint.io_fraction;
-    engine_job.memory_mb = execution->hint.memory_mb;
-    engine_job.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
-    if (config_.honors_grants) engine_job.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
+    nodes::Job job;
+    job.id = run->id;
+    job.work_us = run->hint.work_us;
+    job.threads = run->hint.threads;
+    job.io_fraction = run->hint.io_fraction;
+    job.memory_mb = run->hint.memory_mb;
+    job.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
+    if (config_.honors_grants) job.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
     const sql::StatementInfo info = sql::inspect(statement);
     if (!info.tables.empty())
-      engine_job.table_group =
-          static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
+      job.table_group = static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
     const bool had_collapsed = engine_.collapsed();
-    if (engine_.admit(clock_.now(), engine_job) == Admission::kTooManySessions) {
+    if (engine_.admit(clock_.now(), job) == Admission::kTooManySessions) {
       end = NodeEvent::End::kRefused;
       status = make_error(Code::kResourceExhausted, "too many sessions", kNodeDomain, kNotAdmitted);
     } else {
-      execution->work_started = true;
-      executions_[execution->id] = execution;
+      run->work_started = true;
+      runs_[run->id] = run;
       schedule_completion();
       schedule_progress_notes();
     }
-    if (engine_.collapsed() && !had_collapsed) record(*execution, NodeEvent::Kind::kFell, end);
-    if (execution->work_started) {
-      if (fault == StatementFault::kReset) {  // after half of the work
-        const auto half_duration_us =
-            static_cast<TimeUs>(execution->hint.work_us / execution->hint.threads / 2);
-        clock_.call_after(half_duration_us, [execution] { execution->state_changed.set(); });
-        co_await execution->state_changed.wait();
+    if (engine_.collapsed() && !had_collapsed) record(*run, NodeEvent::Kind::kFell, end);
+    if (run->work_started) {
+      if (fault == HintFault::kReset) {  // after half of the work
+        const auto half_us = static_cast<TimeUs>(run->hint.work_us / run->hint.threads / 2);
+        clock_.call_after(half_us, [run] { run->state_changed.set(); });
+        co_await run->state_changed.wait();
         advance_engine();
-        engine_.remove(clock_.now(), execution->id);
-        executions_.erase(execution->id);
+        engine_.remove(clock_.now(), run->id);
+        runs_.erase(run->id);
         schedule_completion();
-        record(*execution, NodeEvent::Kind::kEnded, NodeEvent::End::kBroken);
+        record(*run, NodeEvent::Kind::kEnded, NodeEvent::End::kBroken);
         co_return;  // a call that is destroyed without finish() is reset
       }
-      const bool completed = co_await wait_for_completion(execution);
+      const bool completed = co_await wait_for_completion(run);
       if (completed) {
-        if (engine_.collapsed() || fault == StatementFault::kLostResponse) {
+        if (engine_.collapsed() || fault == HintFault::kLostResponse) {
           never_respond = true;
-        } else if (fault == StatementFault::kError) {
+        } else if (fault == HintFault::kError) {
           end = NodeEvent::End::kError;
           status = make_error(Code::kInternal, "the query failed");
         } else if (is_update) {
           tables_->define(statement);
           fsql::DoPutUpdateResult result;
-          result.set_record_count(execution->hint.rows);
+          result.set_record_count(run->hint.rows);
           flight::PutResult put;
           put.set_app_metadata(result.SerializeAsString());
           final_message = put.SerializeAsString();
         } else if (is_plan) {
-          final_message = plan_response(statement, content_for(statement).schema(), as_prepared_statement);
+          final_message = plan_response(statement, content_of(statement).schema(), as_prepared_statement);
         } else {
-          const bool complete =
-              co_await send_rows(call, content_for(statement), fault == StatementFault::kBreakStream);
-          if (!complete) {
-            record(*execution, NodeEvent::Kind::kEnded,
-                   execution->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kBroken);
+          const bool sent = co_await send_rows(call, content_of(statement), fault == HintFault::kBreakStream);
+          if (!sent) {
+            record(*run, NodeEvent::Kind::kEnded,
+                   run->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kBroken);
             co_return;
           }
         }
       }
     }
   }
-  while (never_respond && !execution->cancelled) co_await execution->state_changed.wait();
-  if (execution->cancelled) end = NodeEvent::End::kCancelled;
-  record(*execution, NodeEvent::Kind::kEnded, end);
-  if (!execution->cancelled)
-    co_await finish(call, std::move(status), std::move(final_message), execution.get());
+  while (never_respond && !run->cancelled) co_await run->state_changed.wait();
+  if (run->cancelled) end = NodeEvent::End::kCancelled;
+  record(*run, NodeEvent::Kind::kEnded, end);
+  if (!run->cancelled) co_await finish(call, std::move(status), std::move(final_message), run.get());
 }
 
-Content StandIn::content_for(const std::string& statement) const {
+Content StandIn::content_of(const std::string& statement) const {
   const sql::StatementInfo info = sql::inspect(statement);
   return Content(statement, info.tables.empty() ? 0 : tables_->added(info.tables[0]));
 }
--- a/src/nodes/stand_in.h
+++ b/src/nodes/stand_in.h
@@ -33,28 +33,28 @@
   void drain() { draining_ = true; }
   // Starts a fault now.
   void begin_fault(FaultKind kind, TimeUs duration_us, double value);
-  size_t open_executions() const { return executions_.size(); }
+  size_t open_runs() const { return runs_.size(); }
   bool fallen() const { return engine_.collapsed(); }
 
  private:
-  struct Execution;
+  struct Run;
   using CallPtr = std::shared_ptr<rpc::ServerCall>;
 
   // as_prepared_statement: the response to a plan is a prepared statement instead of a schema.
   rpc::Awaitable<void> execute(CallPtr call, std::string statement, dispatch::ExecutionKind kind,
                                bool as_prepared_statement);
-  rpc::Awaitable<bool> wait_for_completion(std::shared_ptr<Execution> execution);
-  Content content_for(const std::string& statement) const;
+  rpc::Awaitable<bool> wait_for_completion(std::shared_ptr<Run> run);
+  Content content_of(const std::string& statement) const;
   rpc::Awaitable<bool> send_rows(CallPtr call, Content content, bool reset_after_first_batch);
   rpc::Awaitable<void> finish(CallPtr call, rpc::Status status, std::optional<std::string> final_message,
-                              const Execution* execution);
+                              const Run* run);
   bool has_active_fault(FaultKind kind) const;
   void apply_faults();
   void schedule_completion();
   void advance_engine();
   void schedule_progress_notes();
   LoadReport current_report();
-  void record(const Execution& execution, NodeEvent::Kind kind, NodeEvent::End end);
+  void record(const Run& run, NodeEvent::Kind kind, NodeEvent::End end);
 
   const NodeConfig config_;
   Clock& clock_;
@@ -64,9 +64,9 @@
   Engine engine_;
   std::vector<Fault> faults_;
   bool draining_ = false;
-  uint64_t last_execution_id_ = 0;
-  std::map<uint64_t, std::shared_ptr<Execution>> executions_;  // running or queued in the engine, by id
-  TimeUs completion_timer_at_ = 0;                             // 0: no timer is pending
+  uint64_t last_run_id_ = 0;
+  std::map<uint64_t, std::shared_ptr<Run>> runs_;  // running or queued in the engine, by id
+  TimeUs completion_timer_at_ = 0;                 // 0: no timer is pending
   bool progress_timer_pending_ = false;
   LoadReport report_;
   TimeUs report_refreshed_at_ = 0;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -167,8 +167,8 @@
   EXPECT_EQ(h.work_us, 20'000);
   EXPECT_EQ(h.threads, 4);
   EXPECT_EQ(h.rows, 9);
-  EXPECT_EQ(h.fault, StatementHint::StatementFault::kLostResponse);
-  EXPECT_EQ(h.fault_attempt, 0);
+  EXPECT_EQ(h.fault, StatementHint::HintFault::kLostResponse);
+  EXPECT_EQ(h.on_attempt, 0);
   EXPECT_EQ(read_hint("SELECT 1 /*+ work=soon threads=-4 rows=x").rows, StatementHint().rows);
   EXPECT_EQ(read_hint("/*+ threads=-4 */").threads, 1);
 }
