--- a/src/badday/day.cpp
+++ b/src/badday/day.cpp
@@ -17,7 +17,7 @@
 #include "badday/process.h"
 #include "base/async_event.h"
 #include "flightsql/client.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "nodes/content.h"
 #include "nodes/record_file.h"
 #include "rpc/grpc_client.h"
@@ -151,7 +151,7 @@
       const std::lock_guard lock(records_mutex_);
       for (size_t g = 0; g < gateways_.size(); ++g)
         for (const int n : draining)
-          records_.told.push_back({"g" + std::to_string(g), "n" + std::to_string(n), loop_.now()});
+          records_.unavailable.push_back({"g" + std::to_string(g), "n" + std::to_string(n), loop_.now()});
     }
     for (size_t g = 0; g < gateways_.size(); ++g) {
       write_gateway_config(g);
@@ -217,7 +217,7 @@
             gateways_[e.gateway].process->kill();
             block_for(e.duration_us);
             start_gateway(e.gateway);
-            kill.up_at = loop_.now();
+            kill.restarted_at = loop_.now();
             const std::lock_guard lock(records_mutex_);
             records_.kills.push_back(kill);
             break;
@@ -286,26 +286,26 @@
       record.tag = "q" + std::to_string(request.number) + "-" + std::to_string(submission);
       record.gateway = "g" + std::to_string(request.gateway);
       record.key = request.key;
-      record.asked_work_us = request.work_us;
+      record.requested_work_us = request.work_us;
       const auto timeout_us = static_cast<TimeUs>(
           request.timeout_fraction * script_.gateway.settings.classes[record.cls].request_timeout_us);
       flightsql::ClientOptions options;
       options.timeout_us = timeout_us;
-      options.dial_timeout_us = 300'000;
+      options.connect_timeout_us = 300'000;
       options.headers.emplace_back("x-class", t.class_name);
       options.headers.emplace_back(std::string(flightsql::kClientTagKey), record.tag);
       if (!request.key.empty()) options.headers.emplace_back("x-order-key", request.key);
       const bool cancels = request.cancel_at_fraction >= 0 && submission == 0;
       if (cancels) {
-        options.cancel = std::make_shared<flightsql::Canceller>();
+        options.canceller = std::make_shared<flightsql::CallCanceller>();
         loop_.call_after(static_cast<TimeUs>(request.cancel_at_fraction * static_cast<double>(timeout_us)),
-                         [cancel = options.cancel] { cancel->cancel_all(); });
+                         [cancel = options.canceller] { cancel->cancel_all(); });
       }
       std::string sql = statement_for(t, request);
       const std::string sent_sql = sql;
       flightsql::Client& gateway_client = *gateways_[request.gateway].client;
-      record.asked_at = loop_.now();
-      record.due_at = record.asked_at + timeout_us;
+      record.started_at = loop_.now();
+      record.deadline = record.started_at + timeout_us;
       const auto check = std::make_shared<nodes::AnswerCheck>(sql);
       flightsql::Client::OnBatch on_batch = [check](const auto& schema, const auto& batch) {
         check->on_batch(schema, batch);
@@ -316,31 +316,31 @@
       else
         result = co_await gateway_client.query(std::move(sql), std::move(options), std::move(on_batch));
       record.ended_at = loop_.now();
-      record.answers = result.from_gateway ? 1 : 0;
+      record.responses = result.from_gateway ? 1 : 0;
       if (!result.connected)
         record.end = ClientRecord::End::kUnreachable;
       else if (!result.from_gateway && cancels)
-        record.end = ClientRecord::End::kLeft;
+        record.end = ClientRecord::End::kCancelled;
       else if (!result.from_gateway)
-        record.end = ClientRecord::End::kNoAnswer;
+        record.end = ClientRecord::End::kNoResponse;
       else
         record.end = audit::end_of(result.verdict);
       const bool served = record.end == ClientRecord::End::kServed;
       if (!t.update)
-        record.fault = check->fault(served);
+        record.response_error = check->fault(served);
       else if (served)
-        record.fault = nodes::AnswerCheck::update_fault(sent_sql, result.updated);
+        record.response_error = nodes::AnswerCheck::update_fault(sent_sql, result.updated_rows);
       {
         const std::lock_guard lock(records_mutex_);
         records_.clients.push_back(record);
         client_log_ << record.tag << '\t' << record.gateway << '\t' << t.class_name << '\t'
-                    << record.asked_at - started_at_ << '\t' << record.due_at - started_at_ << '\t'
+                    << record.started_at - started_at_ << '\t' << record.deadline - started_at_ << '\t'
                     << record.ended_at - started_at_ << '\t' << static_cast<int>(record.end) << '\t'
                     << result.attempts << '\t' << rpc::code_name(result.status.code) << '\t'
                     << result.status.message << '\n';
       }
       const bool resubmit =
-          record.end == ClientRecord::End::kRefused || record.end == ClientRecord::End::kUnreachable;
+          record.end == ClientRecord::End::kRejected || record.end == ClientRecord::End::kUnreachable;
       if (!resubmit || submission + 1 == t.max_submissions) break;
       co_await sablelink::sleep_for(loop_, result.retry_after_us.value_or(200'000));
       request.gateway = (request.gateway + 1) % gateways_.size();
@@ -381,14 +381,14 @@
     s.rules = script_.gateway.settings;
     s.slack_us = 100'000;  // scheduling delays: all processes share two cores with the clients
     for (const Node& n : nodes_) {
-      audit::NodeFacts f;
+      audit::NodeInfo f;
       f.name = n.engine_config.name;
       f.zone = n.engine_config.zone;
       f.kind = n.engine_config.engine_type;
       f.cell = n.engine_config.cell;
       f.cores = script_.node.engine.cores;
-      f.cold_from = script_.node.engine.cold_from;
-      f.warm_after_us = script_.node.engine.warm_after_us;
+      f.slow_start_min_capacity_fraction = script_.node.engine.cold_from;
+      f.slow_start_duration_us = script_.node.engine.warm_after_us;
       s.nodes.push_back(f);
     }
     return s;
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -8,7 +8,7 @@
 
 #include "base/async_event.h"
 #include "flightsql/messages.h"
-#include "flightsql/terms.h"
+#include "flightsql/protocol.h"
 #include "nodes/content.h"
 #include "sablelink.pb.h"
 #include "sql/statement.h"
@@ -206,10 +206,10 @@
   report.load = current_report();
   if (run != nullptr && status.ok()) {
     report.work_us = run->hint.work_us;
-    report.used_mb = run->hint.memory_mb;
+    report.memory_used_mb = run->hint.memory_mb;
   }
   rpc::Metadata trailers;
-  trailers.emplace_back(kLoadReportKey, encode_report(report));
+  trailers.emplace_back(kLoadReportKey, encode_load_report(report));
   co_await call->finish(std::move(status), std::move(trailers), std::move(final_message));
 }
 
@@ -377,7 +377,7 @@
     job.io_fraction = run->hint.io_fraction;
     job.memory_mb = run->hint.memory_mb;
     job.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
-    if (config_.honors_grants) job.grant_mb = std::max(find_number(metadata, kGrantKey, 0.0), 0.0);
+    if (config_.honors_grants) job.grant_mb = std::max(find_number(metadata, kMemoryGrantKey, 0.0), 0.0);
     const sql::StatementInfo info = sql::inspect(statement);
     if (!info.tables.empty())
       job.table_group = static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
@@ -443,7 +443,7 @@
 }
 
 Awaitable<bool> StandIn::send_rows(CallPtr call, Content content, bool reset_after_first_batch) {
-  std::string bytes = flight_data(arrowipc::encode_schema(content.schema()));
+  std::string bytes = encode_flight_data(arrowipc::encode_schema(content.schema()));
   bool written = co_await call->write(std::move(bytes));
   int64_t rows_sent = 0;
   const auto batch_rows = std::clamp<int64_t>(
@@ -451,7 +451,7 @@
       kMaxBatchRows);
   do {
     const int64_t count = std::min(batch_rows, content.rows() - rows_sent);
-    bytes = flight_data(arrowipc::encode_batch(content.schema(), content.batch(rows_sent, count)));
+    bytes = encode_flight_data(arrowipc::encode_batch(content.schema(), content.batch(rows_sent, count)));
     if (written) written = co_await call->write(std::move(bytes));
     rows_sent += count;
   } while (written && !reset_after_first_batch && rows_sent < content.rows());
