--- a/src/audit/auditor.cpp
+++ b/src/audit/auditor.cpp
@@ -15,15 +15,15 @@
     case NodeEvent::Kind::kStarted:
       rules.node_started(e.at, e.node);
       break;
-    case NodeEvent::Kind::kFell:
+    case NodeEvent::Kind::kCollapsed:
       rules.node_collapsed(e.at, e.node);
       break;
     case NodeEvent::Kind::kArrived:
       rules.attempt_started(e.at, e.request, e.attempt, e.node, e.tag, e.work_us);
       break;
     case NodeEvent::Kind::kEnded: {
-      const bool interrupted = e.end == NodeEvent::End::kCancelled || e.end == NodeEvent::End::kBroken;
-      if (e.ran) rules.attempt_executed(e.request, e.attempt);
+      const bool interrupted = e.end == NodeEvent::End::kCancelled || e.end == NodeEvent::End::kReset;
+      if (e.work_started) rules.attempt_executed(e.request, e.attempt);
       rules.attempt_ended(e.at, e.request, e.attempt,
                           interrupted ? AttemptEnd::kMayStillRun : AttemptEnd::kResponded);
       break;
--- a/src/badday/day.cpp
+++ b/src/badday/drill.cpp
@@ -1,4 +1,4 @@
-#include "badday/day.h"
+#include "badday/drill.h"
 
 #include <atomic>
 #include <boost/asio/co_spawn.hpp>
@@ -32,14 +32,14 @@
 
 class Drill {
  public:
-  Drill(const Script& script, const DayOptions& options, const service::System& system)
+  Drill(const Script& script, const DrillOptions& options, const service::System& system)
       : script_(script),
         options_(options),
         loop_(system.wall, system.steady),
         channels_({}, loop_),
         random_(script.seed) {}
 
-  DayResult run() {
+  DrillResult run() {
     start_processes();
     client_log_.open(path("clients.tsv"));
     client_log_ << "tag\tgateway\tclass\tasked\tdue\tended\tend\tattempts\tstatus\tmessage\n";
@@ -49,12 +49,12 @@
     events.join();
     wait_for_clients();
     stop_processes();
-    DayResult out;
+    DrillResult out;
     out.settings = audit_settings();
     for (size_t i = 0; i < nodes_.size(); ++i)
       for (nodes::NodeEvent& e : nodes::read_records(record_path(i))) records_.nodes.push_back(std::move(e));
     out.report = audit::audit(out.settings, records_);
-    out.trouble = failure_;
+    out.failure = failure_;
     return out;
   }
 
@@ -132,14 +132,14 @@
     for (Gateway& g : gateways_) g.process->signal(SIGTERM);
     for (size_t i = 0; i < gateways_.size(); ++i) {
       int status = 0;
-      if (!gateways_[i].process->wait_end(40'000'000, &status))
+      if (!gateways_[i].process->wait_exit(40'000'000, &status))
         record_failure("gateway g" + std::to_string(i) + " didn't stop");
       else if (status != 0)
         record_failure("gateway g" + std::to_string(i) + " ended with status " + std::to_string(status));
       gateways_[i].client.reset();
     }
     for (Node& n : nodes_) n.process->signal(SIGTERM);
-    for (Node& n : nodes_) n.process->wait_end(15'000'000);
+    for (Node& n : nodes_) n.process->wait_exit(15'000'000);
   }
 
   // ---- Events
@@ -169,7 +169,7 @@
       block_for(e.drain_us);
       for (const int n : batch) nodes_[n].process->signal(SIGTERM);
       for (const int n : batch)
-        if (!nodes_[n].process->wait_end(12'000'000))
+        if (!nodes_[n].process->wait_exit(12'000'000))
           record_failure("node n" + std::to_string(n) + " didn't stop");
       restart(batch);
     }
@@ -306,7 +306,7 @@
       flightsql::Client& gateway_client = *gateways_[request.gateway].client;
       record.started_at = loop_.now();
       record.deadline = record.started_at + timeout_us;
-      const auto check = std::make_shared<nodes::AnswerCheck>(sql);
+      const auto check = std::make_shared<nodes::ResponseCheck>(sql);
       flightsql::Client::OnBatch on_batch = [check](const auto& schema, const auto& batch) {
         check->on_batch(schema, batch);
       };
@@ -327,9 +327,9 @@
         record.end = audit::end_of(result.verdict);
       const bool served = record.end == ClientRecord::End::kServed;
       if (!t.update)
-        record.response_error = check->fault(served);
+        record.response_error = check->error(served);
       else if (served)
-        record.response_error = nodes::AnswerCheck::update_fault(sent_sql, result.updated_rows);
+        record.response_error = nodes::ResponseCheck::update_error(sent_sql, result.updated_rows);
       {
         const std::lock_guard lock(records_mutex_);
         records_.clients.push_back(record);
@@ -387,15 +387,15 @@
       f.kind = n.engine_config.engine_type;
       f.cell = n.engine_config.cell;
       f.cores = script_.node.engine.cores;
-      f.slow_start_min_capacity_fraction = script_.node.engine.cold_from;
-      f.slow_start_duration_us = script_.node.engine.warm_after_us;
+      f.slow_start_min_capacity_fraction = script_.node.engine.slow_start_min_capacity_fraction;
+      f.slow_start_duration_us = script_.node.engine.slow_start_duration_us;
       s.nodes.push_back(f);
     }
     return s;
   }
 
   const Script& script_;
-  const DayOptions& options_;
+  const DrillOptions& options_;
   rpc::GrpcLoop loop_;
   rpc::GrpcChannelFactory channels_;
   std::mt19937_64 random_;
@@ -412,7 +412,7 @@
 
 }  // namespace
 
-DayResult run_day(const Script& script, const DayOptions& options, const service::System& system) {
+DrillResult run_drill(const Script& script, const DrillOptions& options, const service::System& system) {
   return Drill(script, options, system).run();
 }
 
--- a/src/badday/day.h
+++ b/src/badday/drill.h
@@ -11,17 +11,17 @@
 
 namespace sablelink::badday {
 
-struct DayOptions {
+struct DrillOptions {
   std::string program;  // path of this program
   std::string folder;   // the directory for configurations, records and logs; must exist
 };
 
-struct DayResult {
+struct DrillResult {
   audit::AuditSettings settings;
   audit::Report report;
-  std::string trouble;  // the first failure of the drill itself, which makes its result invalid; empty: none
+  std::string failure;  // the first failure of the drill itself, which makes its result invalid; empty: none
 };
 
-DayResult run_day(const Script& script, const DayOptions& options, const service::System& system);
+DrillResult run_drill(const Script& script, const DrillOptions& options, const service::System& system);
 
 }  // namespace sablelink::badday
--- a/src/badday/process.cpp
+++ b/src/badday/process.cpp
@@ -67,7 +67,7 @@
   if (!exited_) ::kill(pid_, number);
 }
 
-bool Process::wait_end(TimeUs timeout_us, int* status) {
+bool Process::wait_exit(TimeUs timeout_us, int* status) {
   const auto deadline = std::chrono::steady_clock::now() + std::chrono::microseconds(timeout_us);
   while (!exited_) {
     int wait_status = 0;
--- a/src/badday/process.h
+++ b/src/badday/process.h
@@ -30,7 +30,7 @@
   void signal(int number);
   // Waits until the process exits; returns false if the timeout expires. status receives the wait status of
   // waitpid().
-  bool wait_end(TimeUs timeout_us, int* status = nullptr);
+  bool wait_exit(TimeUs timeout_us, int* status = nullptr);
   void kill();
   pid_t pid() const { return pid_; }
 
--- a/src/cli/badday.cpp
+++ b/src/cli/badday.cpp
@@ -5,7 +5,7 @@
 #include <iterator>
 #include <system_error>
 
-#include "badday/day.h"
+#include "badday/drill.h"
 #include "badday_script.h"
 #include "cli/commands.h"
 #include "nodes/record_file.h"
@@ -42,8 +42,9 @@
   std::printf("%lld %s %s attempt %d %s", static_cast<long long>(event.at), event.node.c_str(),
               event.request.c_str(), event.attempt, kKindNames[static_cast<int>(event.kind)]);
   if (event.kind == nodes::NodeEvent::Kind::kEnded) {
-    std::printf(" %s, %s, %s", kEndNames[static_cast<int>(event.end)], event.ran ? "ran" : "never ran",
-                event.done ? "work done" : "work not done");
+    std::printf(" %s, %s, %s", kEndNames[static_cast<int>(event.end)],
+                event.work_started ? "ran" : "never ran",
+                event.work_completed ? "work done" : "work not done");
   }
   std::printf("\n");
 }
@@ -70,13 +71,13 @@
               folder.c_str());
   std::fflush(stdout);
 
-  const badday::DayOptions day_options{fs::read_symlink("/proc/self/exe"), folder};
-  const badday::DayResult result = badday::run_day(script, day_options, system);
+  const badday::DrillOptions drill_options{fs::read_symlink("/proc/self/exe"), folder};
+  const badday::DrillResult result = badday::run_drill(script, drill_options, system);
   const std::string report = audit::render(result.settings, result.report);
   std::ofstream(folder / "report.txt") << report;
   std::fputs(report.c_str(), stdout);
-  if (!result.trouble.empty()) {
-    std::fprintf(stderr, "sablelink: the fault-injection run itself failed: %s\n", result.trouble.c_str());
+  if (!result.failure.empty()) {
+    std::fprintf(stderr, "sablelink: the fault-injection run itself failed: %s\n", result.failure.c_str());
     return kError;
   }
   if (const int rule = result.report.rule_never_at_stake(); rule != 0) {
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -155,7 +155,7 @@
 int run_node(const std::string& config_file, const service::System& system) {
   const nodes::NodeConfig config = nodes::parse_node_config(read_file(config_file), config_file);
   std::unique_ptr<nodes::RecordFile> record;
-  if (!config.record.empty()) record = std::make_unique<nodes::RecordFile>(config.record);
+  if (!config.record_path.empty()) record = std::make_unique<nodes::RecordFile>(config.record_path);
   ForegroundSignals signals;
   service::NodeService node(config, system, record.get());
   print_ready();
--- a/src/config/gateway_config.cpp
+++ b/src/config/gateway_config.cpp
@@ -232,7 +232,7 @@
   SelectorSettings& settings = config.selectors;
   settings.default_class = read_index(section, "default_class", config.class_names);
   settings.tenant_header = section.string("tenant_header", "");
-  settings.key_header = section.string("key_header", "");
+  settings.ordering_key_header = section.string("key_header", "");
   settings.cost_header = section.string("cost_header", "");
   settings.memory_header = section.string("memory_header", "");
   section.reject_unknown_keys();
--- a/src/config/selectors.cpp
+++ b/src/config/selectors.cpp
@@ -94,7 +94,7 @@
 }
 
 uint64_t ordering_key(const SelectorSettings& settings, const RequestAttributes& request) {
-  const std::string_view key = header_value(request, settings.key_header);
+  const std::string_view key = header_value(request, settings.ordering_key_header);
   if (key.empty()) return 0;
   return std::max<uint64_t>(hash(key), 1);
 }
--- a/src/config/selectors.h
+++ b/src/config/selectors.h
@@ -51,7 +51,7 @@
   int default_class = 0;             // index
   std::vector<std::string> tenants;  // names, by tenant index
   std::string tenant_header;         // contains the tenant's name
-  std::string key_header;            // contains the ordering key
+  std::string ordering_key_header;   // contains the ordering key
   std::string cost_header;           // contains the estimated work in microseconds
   std::string memory_header;         // contains the estimated memory in MB
   std::vector<Table> tables;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -225,7 +225,7 @@
 std::string FlightSqlServer::bound_statement(const std::string& handle) {
   const PreparedStatements::BoundStatement prepared = find_prepared(handle);
   try {
-    return validate_statement(sql::substitute(prepared.statement, prepared.literals));
+    return validate_statement(sql::bind_parameters(prepared.statement, prepared.literals));
   } catch (const sql::ParameterCountError& e) {
     throw_invalid_argument(e.what());
   }
@@ -389,7 +389,7 @@
 FlightSqlServer::ClassifiedStatement FlightSqlServer::classify(const rpc::ServerCall& call,
                                                                std::string text) const {
   ClassifiedStatement classified;
-  classified.info = sql::inspect(text);
+  classified.info = sql::analyze_statement(text);
   classified.text = std::move(text);
   const std::string user = basic_auth_user(call.metadata());
   config::RequestAttributes attributes;
@@ -602,7 +602,7 @@
   for (size_t i = 0; i < rows.size(); ++i) {
     std::string text;
     try {
-      text = validate_statement(sql::substitute(prepared.statement, rows[i]));
+      text = validate_statement(sql::bind_parameters(prepared.statement, rows[i]));
     } catch (const sql::ParameterCountError& e) {
       throw_invalid_argument(e.what());
     }
--- a/src/flightsql/prepared.cpp
+++ b/src/flightsql/prepared.cpp
@@ -170,7 +170,7 @@
       return std::strpbrk(text, ".eE") != nullptr ? text : std::string(text) + ".0";
     }
     case Type::kUtf8:
-      return sql::quote(column.bytes_at(row));
+      return sql::to_string_literal(column.bytes_at(row));
     case Type::kBinary:
       return hex_literal(column.bytes_at(row));
     case Type::kTimestamp:
--- a/src/nodes/content.cpp
+++ b/src/nodes/content.cpp
@@ -48,14 +48,14 @@
 
 }  // namespace
 
-int Tables::added(std::string_view table) const {
+int TableCatalog::added_column_count(std::string_view table) const {
   const std::lock_guard lock(mutex_);
   const auto it = added_columns_.find(unqualified_name(table));
   return it == added_columns_.end() ? 0 : it->second;
 }
 
-void Tables::define(std::string_view statement) {
-  const sql::StatementInfo info = sql::inspect(statement);
+void TableCatalog::apply_definition(std::string_view statement) {
+  const sql::StatementInfo info = sql::analyze_statement(statement);
   if (info.kind != sql::StatementKind::kDefinition || info.tables.empty()) return;
   const std::lock_guard lock(mutex_);
   int& count = added_columns_[std::string(unqualified_name(info.tables[0]))];
@@ -214,7 +214,7 @@
   return true;
 }
 
-void AnswerCheck::on_batch(const arrowipc::Schema& schema, const arrowipc::Batch& batch) {
+void ResponseCheck::on_batch(const arrowipc::Schema& schema, const arrowipc::Batch& batch) {
   if (!error_.empty()) return;
   if (content_.empty()) {
     // The statement doesn't determine how many columns were added to its table, so take that from the schema.
@@ -240,7 +240,7 @@
   }
 }
 
-std::string AnswerCheck::fault(bool served) const {
+std::string ResponseCheck::error(bool served) const {
   if (!error_.empty() || !served) return error_;
   const int64_t rows = read_hint(statement_).rows;
   if (content_.empty()) return "it holds no batch";
@@ -249,7 +249,7 @@
   return "";
 }
 
-std::string AnswerCheck::update_fault(std::string_view statement, int64_t updated) {
+std::string ResponseCheck::update_error(std::string_view statement, int64_t updated) {
   const int64_t rows = read_hint(statement).rows;
   if (updated == rows) return "";
   return "it counts " + std::to_string(updated) + " rows, not " + std::to_string(rows);
--- a/src/nodes/content.h
+++ b/src/nodes/content.h
@@ -23,13 +23,13 @@
 
 // The tables that all stand-in nodes of a fleet share. Thread-safe. Tables are identified by their
 // unqualified names; a schema or catalog in front of the name is ignored.
-class Tables {
+class TableCatalog {
  public:
   // The number of columns that the table has beyond the initial ones.
-  int added(std::string_view table) const;
+  int added_column_count(std::string_view table) const;
   // Applies a data definition statement: every ADD in it adds a column and every DROP removes one. Ignores
   // all other statements.
-  void define(std::string_view statement);
+  void apply_definition(std::string_view statement);
 
  private:
   mutable std::mutex mutex_;
@@ -38,7 +38,7 @@
 
 class Content {
  public:
-  // added_columns: see Tables::added() for the statement's table.
+  // added_columns: see TableCatalog::added_column_count() for the statement's table.
   Content(std::string_view statement, int added_columns);
 
   const arrowipc::Schema& schema() const { return schema_; }
@@ -66,16 +66,16 @@
 };
 
 // Checks one response, batch by batch.
-class AnswerCheck {
+class ResponseCheck {
  public:
-  explicit AnswerCheck(std::string statement) : statement_(std::move(statement)) {}
+  explicit ResponseCheck(std::string statement) : statement_(std::move(statement)) {}
 
   void on_batch(const arrowipc::Schema& schema, const arrowipc::Batch& batch);
   // Describes the first error found in the response after its end; empty if there is none. A response that
   // was not served completely must be the beginning of a correct one.
-  std::string fault(bool served) const;
+  std::string error(bool served) const;
   // The same for the number of rows that an update reports.
-  static std::string update_fault(std::string_view statement, int64_t updated);
+  static std::string update_error(std::string_view statement, int64_t updated);
 
   int64_t rows() const { return next_row_; }
 
--- a/src/nodes/engine.cpp
+++ b/src/nodes/engine.cpp
@@ -13,9 +13,11 @@
 }  // namespace
 
 double Engine::capacity_fraction(TimeUs now) const {
-  if (settings_.warm_after_us <= 0) return 1;
-  const double age = static_cast<double>(now - started_at_) / settings_.warm_after_us;
-  return std::clamp(settings_.cold_from + (1 - settings_.cold_from) * age, settings_.cold_from, 1.0);
+  if (settings_.slow_start_duration_us <= 0) return 1;
+  const double age = static_cast<double>(now - started_at_) / settings_.slow_start_duration_us;
+  return std::clamp(
+      settings_.slow_start_min_capacity_fraction + (1 - settings_.slow_start_min_capacity_fraction) * age,
+      settings_.slow_start_min_capacity_fraction, 1.0);
 }
 
 double Engine::allocated_memory_mb(const Job& job) const {
@@ -26,16 +28,17 @@
 // Counts the work of an arriving job and makes a warming engine collapse when too much arrives. Jobs that
 // are not admitted count as well.
 void Engine::record_arrival(TimeUs now, double work_us) {
-  if (settings_.fall_us <= 0 || settings_.warm_after_us <= 0 || now - started_at_ >= settings_.warm_after_us)
+  if (settings_.collapse_window_us <= 0 || settings_.slow_start_duration_us <= 0 ||
+      now - started_at_ >= settings_.slow_start_duration_us)
     return;
   recent_arrivals_.emplace_back(now, work_us);
   recent_work_us_ += work_us;
-  while (now - recent_arrivals_.front().first > settings_.fall_us) {
+  while (now - recent_arrivals_.front().first > settings_.collapse_window_us) {
     recent_work_us_ -= recent_arrivals_.front().second;
     recent_arrivals_.pop_front();
   }
-  if (recent_work_us_ >
-      settings_.fall_multiple * capacity_fraction(now) * settings_.cores * settings_.fall_us)
+  if (recent_work_us_ > settings_.collapse_load_multiple * capacity_fraction(now) * settings_.cores *
+                            settings_.collapse_window_us)
     collapsed_ = true;
 }
 
--- a/src/nodes/engine.h
+++ b/src/nodes/engine.h
@@ -25,12 +25,15 @@
   size_t max_cached_groups = 4;        // the most recently read groups of tables stay in the cache
   double cached_io_saving = 0.5;       // the fraction of a job's I/O saved when its table group is cached
   double max_spill_factor = 2.5;       // a job's work grows by up to this factor when it lacks memory
-  double cold_from = 1;      // the fraction of the full capacity that is available just after a start
-  TimeUs warm_after_us = 0;  // the duration of the warm-up, from cold_from to the full capacity
-  // A warming engine collapses when the work that arrives within fall_us exceeds fall_multiple times what its
-  // current capacity can do in that time. fall_us 0: it never collapses.
-  double fall_multiple = 0;
-  TimeUs fall_us = 0;
+  // The fraction of the full capacity that is available just after a start.
+  double slow_start_min_capacity_fraction = 1;
+  // The duration of the warm-up, from slow_start_min_capacity_fraction to the full capacity.
+  TimeUs slow_start_duration_us = 0;
+  // A warming engine collapses when the work that arrives within collapse_window_us exceeds
+  // collapse_load_multiple times what its current capacity can do in that time. collapse_window_us 0: it
+  // never collapses.
+  double collapse_load_multiple = 0;
+  TimeUs collapse_window_us = 0;
 };
 
 struct Job {
@@ -91,11 +94,12 @@
   EngineSettings settings_;
   TimeUs started_at_, model_time_;
   std::map<uint64_t, RunningJob> running_;
-  std::deque<Job> memory_queue_;                           // by priority, then in the order of arrival
-  std::deque<int64_t> cached_groups_;                      // the most recently read first
-  std::vector<uint64_t> completed_;                        // not yet returned by advance()
-  std::deque<std::pair<TimeUs, double>> recent_arrivals_;  // time of arrival and work, within fall_us
-  double recent_work_us_ = 0;                              // the sum of the work in recent_arrivals_
+  std::deque<Job> memory_queue_;       // by priority, then in the order of arrival
+  std::deque<int64_t> cached_groups_;  // the most recently read first
+  std::vector<uint64_t> completed_;    // not yet returned by advance()
+  // Time of arrival and work, within collapse_window_us.
+  std::deque<std::pair<TimeUs, double>> recent_arrivals_;
+  double recent_work_us_ = 0;  // the sum of the work in recent_arrivals_
   double memory_used_ = 0;
   double slowdown_ = 1;
   bool collapsed_ = false;
--- a/src/nodes/node_config.cpp
+++ b/src/nodes/node_config.cpp
@@ -12,11 +12,11 @@
   static const std::vector<std::pair<std::string, FaultKind>> kNames = {
       {"hang", FaultKind::kHang},
       {"errors", FaultKind::kErrors},
-      {"lost_answers", FaultKind::kLostAnswers},
+      {"lost_answers", FaultKind::kLostResponses},
       {"slow", FaultKind::kSlow},
       {"stale_reports", FaultKind::kStaleReports},
-      {"refuse", FaultKind::kRefuse},
-      {"memory_short", FaultKind::kMemoryShort}};
+      {"refuse", FaultKind::kReject},
+      {"memory_short", FaultKind::kMemoryPressure}};
   return kNames;
 }
 
@@ -26,10 +26,10 @@
   Section node = root.table("node");
   config.name = node.string("name");
   config.listen = node.string("listen");
-  config.record = node.string("record", "");
+  config.record_path = node.string("record", "");
   config.honors_grants = node.boolean("grants", false);
-  config.progress_every_us = node.duration("progress_every", 0);
-  config.report_every_us = node.duration("report_every", config.report_every_us);
+  config.progress_interval_us = node.duration("progress_every", 0);
+  config.load_report_interval_us = node.duration("report_every", config.load_report_interval_us);
   config.batch_bytes = node.byte_size("batch_bytes", config.batch_bytes);
   node.reject_unknown_keys();
   Section section = root.table("engine");
@@ -45,10 +45,11 @@
       section.integer("warm_groups", 0, 10'000, static_cast<int64_t>(engine.max_cached_groups));
   engine.cached_io_saving = section.number("warm_saves", 0, 1, engine.cached_io_saving);
   engine.max_spill_factor = section.number("spill_cost", 1, 1000, engine.max_spill_factor);
-  engine.cold_from = section.number("cold_from", 0.01, 1, engine.cold_from);
-  engine.warm_after_us = section.duration("warm_after", 0);
-  engine.fall_multiple = section.number("fall_multiple", 0, 1000, 0);
-  engine.fall_us = section.duration("fall_after", 0);
+  engine.slow_start_min_capacity_fraction =
+      section.number("cold_from", 0.01, 1, engine.slow_start_min_capacity_fraction);
+  engine.slow_start_duration_us = section.duration("warm_after", 0);
+  engine.collapse_load_multiple = section.number("fall_multiple", 0, 1000, 0);
+  engine.collapse_window_us = section.duration("fall_after", 0);
   section.reject_unknown_keys();
   for (Section& entry : root.tables("fault")) {
     Fault fault;
--- a/src/nodes/node_config.h
+++ b/src/nodes/node_config.h
@@ -12,13 +12,13 @@
 namespace sablelink::nodes {
 
 enum class FaultKind {
-  kHang,          // accepts requests and never responds
-  kErrors,        // responds at once with an error
-  kLostAnswers,   // does the work and never responds
-  kSlow,          // runs slower by the factor in value
-  kStaleReports,  // load reports keep the figures from before the fault
-  kRefuse,        // rejects every request
-  kMemoryShort,   // only the fraction in value of the memory is available, so that jobs queue or spill
+  kHang,            // accepts requests and never responds
+  kErrors,          // responds at once with an error
+  kLostResponses,   // does the work and never responds
+  kSlow,            // runs slower by the factor in value
+  kStaleReports,    // load reports keep the figures from before the fault
+  kReject,          // rejects every request
+  kMemoryPressure,  // only the fraction in value of the memory is available, so that jobs queue or spill
 };
 
 // The names of the kinds in configurations and scripts.
@@ -28,7 +28,7 @@
   FaultKind kind = FaultKind::kHang;
   TimeUs start_us = 0;  // since the node's start
   TimeUs duration_us = 0;
-  double value = 1;  // used by kSlow and kMemoryShort only
+  double value = 1;  // used by kSlow and kMemoryPressure only
   bool is_active_at(TimeUs age) const { return age >= start_us && age < start_us + duration_us; }
 };
 
@@ -37,11 +37,11 @@
   std::string listen;
   EngineSettings engine;
   bool honors_grants = false;
-  TimeUs progress_every_us = 0;      // the interval of progress notes; 0: none are sent
-  TimeUs report_every_us = 200'000;  // the interval at which the load report is refreshed
-  size_t batch_bytes = 64u << 10;    // the approximate size of a batch in a response
+  TimeUs progress_interval_us = 0;           // the interval of progress notes; 0: none are sent
+  TimeUs load_report_interval_us = 200'000;  // the interval at which the load report is refreshed
+  size_t batch_bytes = 64u << 10;            // the approximate size of a batch in a response
   std::vector<Fault> faults;
-  std::string record;  // path of the file to which the node's events are appended; empty: none
+  std::string record_path;  // path of the file to which the node's events are appended; empty: none
 };
 
 // Throws config::ConfigError.
--- a/src/nodes/record_file.cpp
+++ b/src/nodes/record_file.cpp
@@ -26,8 +26,8 @@
   r.set_tag(e.tag);
   r.set_attempt(e.attempt);
   r.set_update(e.update);
-  r.set_ran(e.ran);
-  r.set_done(e.done);
+  r.set_ran(e.work_started);
+  r.set_done(e.work_completed);
   r.set_work_us(e.work_us);
   r.set_end(static_cast<wire::NodeRecord::End>(e.end));
   const std::lock_guard lock(mutex_);
@@ -51,8 +51,8 @@
     e.tag = r.tag();
     e.attempt = r.attempt();
     e.update = r.update();
-    e.ran = r.ran();
-    e.done = r.done();
+    e.work_started = r.ran();
+    e.work_completed = r.done();
     e.work_us = r.work_us();
     e.end = static_cast<NodeEvent::End>(r.end());
     events.push_back(std::move(e));
--- a/src/nodes/stand_in.cpp
+++ b/src/nodes/stand_in.cpp
@@ -70,11 +70,11 @@
   std::vector<wire::ProgressNote> progress_notes;
 };
 
-StandIn::StandIn(NodeConfig config, Clock& clock, Recorder* recorder, std::shared_ptr<Tables> tables)
+StandIn::StandIn(NodeConfig config, Clock& clock, Recorder* recorder, std::shared_ptr<TableCatalog> tables)
     : config_(std::move(config)),
       clock_(clock),
       recorder_(recorder),
-      tables_(tables ? std::move(tables) : std::make_shared<Tables>()),
+      tables_(tables ? std::move(tables) : std::make_shared<TableCatalog>()),
       started_at_(clock.now()),
       engine_(config_.engine, started_at_),
       faults_(config_.faults),
@@ -118,7 +118,7 @@
   for (const Fault& f : faults_) {
     if (!f.is_active_at(age)) continue;
     if (f.kind == FaultKind::kSlow) slowdown = std::max(slowdown, f.value);
-    if (f.kind == FaultKind::kMemoryShort) memory_fraction = std::min(memory_fraction, f.value);
+    if (f.kind == FaultKind::kMemoryPressure) memory_fraction = std::min(memory_fraction, f.value);
   }
   advance_engine();
   engine_.set_slowdown(clock_.now(), slowdown);
@@ -136,8 +136,8 @@
   event.tag = run.tag;
   event.attempt = run.attempt;
   event.update = run.is_update;
-  event.ran = run.work_started;
-  event.done = run.work_completed;
+  event.work_started = run.work_started;
+  event.work_completed = run.work_completed;
   event.work_us = run.hint.work_us;
   event.end = end;
   recorder_->record(event);
@@ -145,7 +145,8 @@
 
 LoadReport StandIn::current_report() {
   const TimeUs now = clock_.now();
-  if (now - report_refreshed_at_ >= config_.report_every_us && !has_active_fault(FaultKind::kStaleReports)) {
+  if (now - report_refreshed_at_ >= config_.load_report_interval_us &&
+      !has_active_fault(FaultKind::kStaleReports)) {
     report_ = engine_.report();
     report_refreshed_at_ = now;
   }
@@ -180,9 +181,9 @@
 }
 
 void StandIn::schedule_progress_notes() {
-  if (progress_timer_pending_ || config_.progress_every_us <= 0) return;
+  if (progress_timer_pending_ || config_.progress_interval_us <= 0) return;
   progress_timer_pending_ = true;
-  clock_.call_after(config_.progress_every_us, [self = self_] {
+  clock_.call_after(config_.progress_interval_us, [self = self_] {
     StandIn* const node = *self;
     if (node == nullptr) return;
     node->progress_timer_pending_ = false;
@@ -335,9 +336,9 @@
     fault = HintFault::kHang;
   else if (has_active_fault(FaultKind::kErrors))
     fault = HintFault::kError;
-  else if (has_active_fault(FaultKind::kRefuse))
+  else if (has_active_fault(FaultKind::kReject))
     fault = HintFault::kReject;
-  else if (has_active_fault(FaultKind::kLostAnswers))
+  else if (has_active_fault(FaultKind::kLostResponses))
     fault = HintFault::kLostResponse;
 
   advance_engine();
@@ -359,7 +360,7 @@
   if (fault == HintFault::kHang) {
     never_respond = true;
   } else if (fault == HintFault::kReject || draining_) {
-    end = NodeEvent::End::kRefused;
+    end = NodeEvent::End::kRejected;
     status = make_error(Code::kResourceExhausted, draining_ ? "draining" : "not admitted", kNodeDomain,
                         kNotAdmitted);
   } else if (fault == HintFault::kInvalidStatement) {
@@ -378,12 +379,12 @@
     job.memory_mb = run->hint.memory_mb;
     job.priority = std::clamp(find_number(metadata, kPriorityKey, 1), 0, 3);
     if (config_.honors_grants) job.grant_mb = std::max(find_number(metadata, kMemoryGrantKey, 0.0), 0.0);
-    const sql::StatementInfo info = sql::inspect(statement);
+    const sql::StatementInfo info = sql::analyze_statement(statement);
     if (!info.tables.empty())
       job.table_group = static_cast<int64_t>(XXH3_64bits(info.tables[0].data(), info.tables[0].size()) >> 33);
     const bool had_collapsed = engine_.collapsed();
     if (engine_.admit(clock_.now(), job) == Admission::kTooManySessions) {
-      end = NodeEvent::End::kRefused;
+      end = NodeEvent::End::kRejected;
       status = make_error(Code::kResourceExhausted, "too many sessions", kNodeDomain, kNotAdmitted);
     } else {
       run->work_started = true;
@@ -391,7 +392,7 @@
       schedule_completion();
       schedule_progress_notes();
     }
-    if (engine_.collapsed() && !had_collapsed) record(*run, NodeEvent::Kind::kFell, end);
+    if (engine_.collapsed() && !had_collapsed) record(*run, NodeEvent::Kind::kCollapsed, end);
     if (run->work_started) {
       if (fault == HintFault::kReset) {  // after half of the work
         const auto half_us = static_cast<TimeUs>(run->hint.work_us / run->hint.threads / 2);
@@ -401,7 +402,7 @@
         engine_.remove(clock_.now(), run->id);
         runs_.erase(run->id);
         schedule_completion();
-        record(*run, NodeEvent::Kind::kEnded, NodeEvent::End::kBroken);
+        record(*run, NodeEvent::Kind::kEnded, NodeEvent::End::kReset);
         co_return;  // a call that is destroyed without finish() is reset
       }
       const bool completed = co_await wait_for_completion(run);
@@ -412,7 +413,7 @@
           end = NodeEvent::End::kError;
           status = make_error(Code::kInternal, "the query failed");
         } else if (is_update) {
-          tables_->define(statement);
+          tables_->apply_definition(statement);
           fsql::DoPutUpdateResult result;
           result.set_record_count(run->hint.rows);
           flight::PutResult put;
@@ -424,7 +425,7 @@
           const bool sent = co_await send_rows(call, content_of(statement), fault == HintFault::kBreakStream);
           if (!sent) {
             record(*run, NodeEvent::Kind::kEnded,
-                   run->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kBroken);
+                   run->cancelled ? NodeEvent::End::kCancelled : NodeEvent::End::kReset);
             co_return;
           }
         }
@@ -438,8 +439,8 @@
 }
 
 Content StandIn::content_of(const std::string& statement) const {
-  const sql::StatementInfo info = sql::inspect(statement);
-  return Content(statement, info.tables.empty() ? 0 : tables_->added(info.tables[0]));
+  const sql::StatementInfo info = sql::analyze_statement(statement);
+  return Content(statement, info.tables.empty() ? 0 : tables_->added_column_count(info.tables[0]));
 }
 
 Awaitable<bool> StandIn::send_rows(CallPtr call, Content content, bool reset_after_first_batch) {
--- a/src/nodes/stand_in.h
+++ b/src/nodes/stand_in.h
@@ -24,7 +24,8 @@
  public:
   // The clock must outlive the node. The recorder may be nullptr. Nodes of one fleet share their tables;
   // without tables the node creates its own.
-  StandIn(NodeConfig config, Clock& clock, Recorder* recorder, std::shared_ptr<Tables> tables = nullptr);
+  StandIn(NodeConfig config, Clock& clock, Recorder* recorder,
+          std::shared_ptr<TableCatalog> tables = nullptr);
   ~StandIn();
 
   rpc::Awaitable<void> handle(std::shared_ptr<rpc::ServerCall> call);
@@ -34,7 +35,7 @@
   // Starts a fault now.
   void begin_fault(FaultKind kind, TimeUs duration_us, double value);
   size_t open_runs() const { return runs_.size(); }
-  bool fallen() const { return engine_.collapsed(); }
+  bool collapsed() const { return engine_.collapsed(); }
 
  private:
   struct Run;
@@ -59,7 +60,7 @@
   const NodeConfig config_;
   Clock& clock_;
   Recorder* recorder_;
-  const std::shared_ptr<Tables> tables_;
+  const std::shared_ptr<TableCatalog> tables_;
   const TimeUs started_at_;
   Engine engine_;
   std::vector<Fault> faults_;
--- a/src/service/node_service.cpp
+++ b/src/service/node_service.cpp
@@ -5,7 +5,7 @@
 namespace sablelink::service {
 
 NodeService::NodeService(nodes::NodeConfig config, const System& system, nodes::Recorder* recorder,
-                         std::shared_ptr<nodes::Tables> tables)
+                         std::shared_ptr<nodes::TableCatalog> tables)
     : loop_(system.wall, system.steady) {
   rpc::GrpcServerOptions options;
   options.address = config.listen;
--- a/src/service/node_service.h
+++ b/src/service/node_service.h
@@ -17,7 +17,7 @@
   /// Starts listening and serving. The recorder may be null; otherwise it must outlive the service. Throws
   /// rpc::ListenError.
   NodeService(nodes::NodeConfig config, const System& system, nodes::Recorder* recorder,
-              std::shared_ptr<nodes::Tables> tables = nullptr);
+              std::shared_ptr<nodes::TableCatalog> tables = nullptr);
   ~NodeService();
 
   int port() const { return server_->port(); }
--- a/src/sim/observer.cpp
+++ b/src/sim/observer.cpp
@@ -201,12 +201,12 @@
       break;
     case NodeEvent::Kind::kEnded:
       log_event(event.node + " ends " + event.request + " attempt " + std::to_string(event.attempt) +
-                (event.done  ? ", done"
-                 : event.ran ? ", started"
-                             : ", not started"));
-      if (event.ran) rules_.attempt_executed(event.request, event.attempt);
+                (event.work_completed ? ", done"
+                 : event.work_started ? ", started"
+                                      : ", not started"));
+      if (event.work_started) rules_.attempt_executed(event.request, event.attempt);
       break;
-    case NodeEvent::Kind::kFell:
+    case NodeEvent::Kind::kCollapsed:
       log_event(event.node + " collapses");
       rules_.node_collapsed(world_.now(), event.node);
       break;
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -291,14 +291,14 @@
     Node n;
     n.name = node_name(i);
     n.config.name = n.name;
-    n.config.progress_every_us = 400 * kMs;
-    n.config.report_every_us = 100 * kMs;
+    n.config.progress_interval_us = 400 * kMs;
+    n.config.load_report_interval_us = 100 * kMs;
     n.config.batch_bytes = 4096;
     nodes::EngineSettings& e = n.config.engine;
     e.cores = scenario_.node_cores;
     e.memory_mb = 8192;
-    e.fall_multiple = config_.settings.collapse_load_multiple;
-    e.fall_us = config_.settings.collapse_window_us;
+    e.collapse_load_multiple = config_.settings.collapse_load_multiple;
+    e.collapse_window_us = config_.settings.collapse_window_us;
     n.zone = i % scenario_.zones;
     n.cell = i / 2;
     nodes_.push_back(std::move(n));
@@ -311,8 +311,8 @@
     const bool first = n.incarnation++ == 0;
     nodes::NodeConfig config = n.config;
     if (!first) {
-      config.engine.cold_from = config_.settings.slow_start_min_capacity_fraction;
-      config.engine.warm_after_us = config_.settings.slow_start_duration_us;
+      config.engine.slow_start_min_capacity_fraction = config_.settings.slow_start_min_capacity_fraction;
+      config.engine.slow_start_duration_us = config_.settings.slow_start_duration_us;
     }
     n.stand_in = std::make_unique<nodes::StandIn>(std::move(config), *n.actor, &observer_);
     n.listener =
@@ -543,14 +543,14 @@
       observer_.client_request_started(c, sql);
       const std::shared_ptr<flightsql::Client> to = client_process.clients[gateway];
       std::string text = sql;
-      const auto check = std::make_shared<nodes::AnswerCheck>(sql);
+      const auto check = std::make_shared<nodes::ResponseCheck>(sql);
       flightsql::Client::OnBatch read = [check](const auto& schema, const auto& batch) {
         check->on_batch(schema, batch);
       };
       const flightsql::QueryResult result =
           co_await to->query(std::move(text), std::move(o), std::move(read));
       const bool served = result.from_gateway && result.verdict == dispatch::RequestStatus::kServed;
-      c.response_error = check->fault(served);
+      c.response_error = check->error(served);
       if (c.response_error.empty() && result.has_schema && result.announced_schema &&
           *result.announced_schema != result.schema)
         c.response_error = "its schema differs from that of its ticket";
@@ -649,7 +649,7 @@
         inject_node_fault(f, nodes::FaultKind::kErrors);
         break;
       case FaultKind::kNodeNeverResponds:
-        inject_node_fault(f, nodes::FaultKind::kLostAnswers);
+        inject_node_fault(f, nodes::FaultKind::kLostResponses);
         break;
       case FaultKind::kNodeSlow:
         inject_node_fault(f, nodes::FaultKind::kSlow, f.value);
@@ -664,10 +664,10 @@
         }
         break;
       case FaultKind::kNodeRejects:
-        inject_node_fault(f, nodes::FaultKind::kRefuse);
+        inject_node_fault(f, nodes::FaultKind::kReject);
         break;
       case FaultKind::kMemoryShortage:
-        inject_node_fault(f, nodes::FaultKind::kMemoryShort, f.value);
+        inject_node_fault(f, nodes::FaultKind::kMemoryPressure, f.value);
         break;
       case FaultKind::kLoadReportsStale:
         inject_node_fault(f, nodes::FaultKind::kStaleReports);
@@ -801,7 +801,7 @@
         expect_zero(g.name, "attempts", active_coroutines);
     }
     for (const Node& n : nodes_)
-      if (n.up() && !n.stand_in->fallen()) expect_zero(n.name, "calls", network_.running(n.listener));
+      if (n.up() && !n.stand_in->collapsed()) expect_zero(n.name, "calls", network_.running(n.listener));
     return out;
   }
 
--- a/src/sql/shape.cpp
+++ b/src/sql/shape.cpp
@@ -64,9 +64,9 @@
   std::string build() {
     size_t end = 0;
     for (const Token& t : tokenize(statement_)) {
-      append_gap(end, t.at);
+      append_gap(end, t.offset);
       append_token(t);
-      end = t.at + t.text.size();
+      end = t.offset + t.text.size();
     }
     append_gap(end, statement_.size());
     return std::move(shape_);
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -226,7 +226,7 @@
 
 }  // namespace
 
-StatementInfo inspect(std::string_view statement) {
+StatementInfo analyze_statement(std::string_view statement) {
   const std::vector<Token> tokens = tokenize(statement);
   StatementInfo info;
   std::vector<std::string> cte_names;  // common table expressions, which aren't tables
@@ -284,7 +284,7 @@
                        [](const Token& t) { return t.kind == TokenKind::kParameter; });
 }
 
-std::string substitute(std::string_view statement, const std::vector<std::string>& literals) {
+std::string bind_parameters(std::string_view statement, const std::vector<std::string>& literals) {
   std::string result;
   size_t copied_bytes = 0;
   size_t next_literal = 0;
@@ -293,9 +293,9 @@
     if (next_literal == literals.size())
       throw ParameterCountError("the statement has more parameters than the " + std::to_string(next_literal) +
                                 " bound");
-    result.append(statement.substr(copied_bytes, t.at - copied_bytes));
+    result.append(statement.substr(copied_bytes, t.offset - copied_bytes));
     result.append(literals[next_literal++]);
-    copied_bytes = t.at + 1;
+    copied_bytes = t.offset + 1;
   }
   if (next_literal != literals.size())
     throw ParameterCountError("the statement has " + std::to_string(next_literal) + " parameters, but " +
@@ -304,7 +304,7 @@
   return result;
 }
 
-std::string quote(std::string_view text) {
+std::string to_string_literal(std::string_view text) {
   std::string result = "'";
   for (const char c : text) {
     if (c == '\'') result += c;
--- a/src/sql/statement.h
+++ b/src/sql/statement.h
@@ -19,7 +19,7 @@
 struct Token {
   TokenKind kind = TokenKind::kSymbol;
   std::string_view text;  // the statement's own text, including quotes
-  size_t at = 0;          // offset of its first byte in the statement
+  size_t offset = 0;      // offset of its first byte in the statement
 };
 
 // Splits a statement into words, names, literals and symbols; comments and white space are skipped.
@@ -33,7 +33,7 @@
   bool writes = false;
   std::vector<std::string> tables;  // in order of appearance, each once; unquoted parts in lower case
 };
-StatementInfo inspect(std::string_view statement);
+StatementInfo analyze_statement(std::string_view statement);
 
 /// The number of placeholders in a statement differs from the number of literals bound to them.
 struct ParameterCountError : Error {
@@ -42,10 +42,10 @@
 
 // Returns the statement with its ? placeholders replaced by the literals, in order. Throws
 // ParameterCountError if their numbers differ.
-std::string substitute(std::string_view statement, const std::vector<std::string>& literals);
+std::string bind_parameters(std::string_view statement, const std::vector<std::string>& literals);
 size_t count_parameters(std::string_view statement);
 
 // Returns the text as an SQL string literal.
-std::string quote(std::string_view text);
+std::string to_string_literal(std::string_view text);
 
 }  // namespace sablelink::sql
--- a/src/sql/table_group.cpp
+++ b/src/sql/table_group.cpp
@@ -28,7 +28,7 @@
 }  // namespace
 
 int64_t table_group(std::string_view statement) {
-  for (const std::string& table : inspect(statement).tables)
+  for (const std::string& table : analyze_statement(statement).tables)
     if (const int64_t group = group_of(table); group >= 0) return group;
   return -1;
 }
--- a/tests/audit_test.cpp
+++ b/tests/audit_test.cpp
@@ -56,7 +56,7 @@
     e.kind = NodeEvent::Kind::kEnded;
     e.at = to;
     e.end = end;
-    e.ran = executed;
+    e.work_started = executed;
     records.nodes.push_back(e);
   }
   void add_node_start(const std::string& node, TimeUs at) {
@@ -162,10 +162,10 @@
 
 TEST_F(AuditorTest, Rule2NonIdempotentRetriedOrRejected) {
   add_request("a", 1, 0, 100 * kMs);
-  add_attempt("a", 0, "n0", 0, 10 * kMs, End::kRefused, false);
+  add_attempt("a", 0, "n0", 0, 10 * kMs, End::kRejected, false);
   add_attempt("a", 1, "n1", 20 * kMs, 40 * kMs);
   EXPECT_EQ(broken_rules(), no_rules);
-  records.nodes[1].ran = true;
+  records.nodes[1].work_started = true;
   EXPECT_EQ(broken_rules(), std::vector<int>{2});
   records.nodes.resize(2);
   records.clients[0].end = ClientRecord::End::kRejected;
@@ -222,7 +222,7 @@
 
 TEST_F(AuditorTest, Rule4NodeCollapsed) {
   NodeEvent e;
-  e.kind = NodeEvent::Kind::kFell;
+  e.kind = NodeEvent::Kind::kCollapsed;
   e.node = "n0";
   records.nodes.push_back(e);
   EXPECT_EQ(broken_rules(), std::vector<int>{4});
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -167,7 +167,7 @@
  protected:
   Classification classify_statement(const std::string& sql, const std::string& user = "",
                                     const std::vector<std::pair<std::string, std::string>>& headers = {}) {
-    const sql::StatementInfo info = sql::inspect(sql);
+    const sql::StatementInfo info = sql::analyze_statement(sql);
     RequestAttributes request;
     request.user = user;
     request.headers = &headers;
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -99,10 +99,10 @@
 
 TEST(Engine, WarmingEngineIsSlowAndCollapsesUnderOverload) {
   EngineSettings s = eight_core_settings();
-  s.cold_from = 0.25;
-  s.warm_after_us = 10 * kSecond;
-  s.fall_multiple = 2;
-  s.fall_us = kSecond;
+  s.slow_start_min_capacity_fraction = 0.25;
+  s.slow_start_duration_us = 10 * kSecond;
+  s.collapse_load_multiple = 2;
+  s.collapse_window_us = kSecond;
   Engine e(s, 0);
   e.admit(0, job(1, 100));
   EXPECT_GT(*e.next_completion(), 300 * kMs);
--- a/tests/fuzz/fuzz.cpp
+++ b/tests/fuzz/fuzz.cpp
@@ -180,16 +180,17 @@
 void statement_target(const std::string& text) {
   size_t last = 0;
   for (const sql::Token& t : sql::tokenize(text)) {
-    check(!t.text.empty() && t.at >= last && t.at + t.text.size() <= text.size(),
+    check(!t.text.empty() && t.offset >= last && t.offset + t.text.size() <= text.size(),
           "a token is empty, out of order or out of bounds");
-    check(text.compare(t.at, t.text.size(), t.text) == 0, "a token differs from the statement's text");
-    last = t.at + t.text.size();
+    check(text.compare(t.offset, t.text.size(), t.text) == 0, "a token differs from the statement's text");
+    last = t.offset + t.text.size();
   }
-  sql::inspect(text);
+  sql::analyze_statement(text);
   const size_t n = sql::count_parameters(text);
   if (n <= 64) {
     // A bound text is a single literal, even if it contains quotes, placeholders or comments.
-    const std::string bound = sql::substitute(text, std::vector<std::string>(n, sql::quote("it's ? -- /*")));
+    const std::string bound =
+        sql::bind_parameters(text, std::vector<std::string>(n, sql::to_string_literal("it's ? -- /*")));
     check(n > 0 || bound == text, "a statement without parameters was changed");
   }
 }
--- a/tests/loopback_harness.h
+++ b/tests/loopback_harness.h
@@ -174,14 +174,14 @@
       if (key == "x-order-key") r.key = value;
     }
     o.canceller = cancel_;
-    r.started_at = wall();
+    r.started_at = wall_time_us();
     r.deadline = r.started_at + (o.timeout_us > 0 ? o.timeout_us : 10 * kSecond);
     QueryResult result;
     if (update)
       result = co_await client->update(std::move(sql), std::move(o));
     else
       result = co_await client->query(std::move(sql), std::move(o));
-    r.ended_at = wall();
+    r.ended_at = wall_time_us();
     r.responses = 1;
     r.end = audit::end_of(result.verdict);
     const std::lock_guard lock(mutex_);
@@ -192,7 +192,7 @@
   void cancel_all() {
     loop_->post_and_wait([&] { cancel_->cancel_all(); });
   }
-  TimeUs wall() const {
+  TimeUs wall_time_us() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(system_.wall().time_since_epoch()).count();
   }
   static void sleep(TimeUs us) { std::this_thread::sleep_for(std::chrono::microseconds(us)); }
@@ -214,7 +214,7 @@
   }
 
   // Returns the auditor's findings for all events recorded so far, one per line.
-  std::string audited() {
+  std::string audit_findings() {
     audit::AuditSettings s;
     s.classes = config_.settings.classes;
     s.class_names = config_.class_names;
@@ -233,7 +233,7 @@
   std::unique_ptr<rpc::GrpcLoop> loop_;
   std::unique_ptr<rpc::GrpcChannelFactory> channels_;
   config::GatewayConfig config_;
-  std::shared_ptr<nodes::Tables> tables_ = std::make_shared<nodes::Tables>();
+  std::shared_ptr<nodes::TableCatalog> tables_ = std::make_shared<nodes::TableCatalog>();
   MemoryRecorder recorder_;
   std::vector<std::unique_ptr<service::NodeService>> nodes_;
   std::unique_ptr<service::GatewayService> gateway_;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -17,7 +17,7 @@
   ASSERT_EQ(r.schema.fields.size(), 4u);
   EXPECT_EQ(r.batches[1].columns[0].integer_at(0), 1024);
   EXPECT_TRUE(r.batches[0].columns[2].is_null(6));
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, UpdateReturnsRowCount) {
@@ -42,9 +42,9 @@
   EXPECT_TRUE(wait_for([&] { return recorder_.count(NodeEvent::Kind::kEnded, "lost") == 2; }));
   size_t completed = 0;
   for (const NodeEvent& e : recorder_.events())
-    completed += e.tag == "lost" && e.kind == NodeEvent::Kind::kEnded && e.done;
+    completed += e.tag == "lost" && e.kind == NodeEvent::Kind::kEnded && e.work_completed;
   EXPECT_EQ(completed, 2u);  // the first attempt completed, too; only its response was lost
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, UnsafeStatementIsNotRetriedAfterConnectionReset) {
@@ -57,7 +57,7 @@
   EXPECT_EQ(r.verdict, RequestStatus::kFailed);
   EXPECT_EQ(r.status.code, Code::kUnknown);
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived, "u"), 1u);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, SafeQueryIsRetriedAfterConnectionReset) {
@@ -68,7 +68,7 @@
       send("SELECT 1 /*+ work=40ms mishap=reset on_attempt=0 */", "s", options(5 * kSecond)).get();
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, UnsafeStatementThatNodeRejectedIsRetried) {
@@ -80,7 +80,7 @@
                             .get();
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   EXPECT_EQ(r.attempts, 2);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, CancellationDuringRetriesReleasesAllRequests) {
@@ -164,7 +164,7 @@
     const QueryResult r = f.get();
     EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, UnsafeStatementIsRetriedAfterRefusedConnection) {
@@ -184,7 +184,7 @@
         send("UPDATE gallery SET a = 1", "u" + std::to_string(i), options(5 * kSecond, "unsafe"), true).get();
     EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, StreamBrokenWithinBufferedPartIsRetried) {
@@ -223,7 +223,7 @@
     const QueryResult r = f.get();
     EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
   }
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
   // At the nodes, no two attempts overlap.
   int running = 0;
   std::vector<NodeEvent> events = recorder_.events();
@@ -251,14 +251,14 @@
   changed.engines[2].state = EndpointState::kDraining;
   {
     const std::lock_guard lock(mutex_);
-    records_.unavailable.push_back({"g", "n2", wall()});
+    records_.unavailable.push_back({"g", "n2", wall_time_us()});
   }
   gateway_->reload(changed);
   for (auto& f : all) EXPECT_EQ(f.get().verdict, RequestStatus::kServed);
   for (int i = 0; i < 30; ++i)
     EXPECT_EQ(send("SELECT 1", "e" + std::to_string(i), options(5 * kSecond)).get().verdict,
               RequestStatus::kServed);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, RequestIsRejectedIfAllNodesOfItsZoneAreDown) {
@@ -271,16 +271,16 @@
   EXPECT_EQ(r.verdict, RequestStatus::kRejected);
   EXPECT_EQ(r.status.code, Code::kUnavailable);
   EXPECT_EQ(recorder_.count(NodeEvent::Kind::kArrived, "f1"), 0u);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, NodeRestartedUnderFullLoadDoesNotCollapse) {
   nodes::NodeConfig restarted;
   restarted.engine.cores = 2;
-  restarted.engine.cold_from = 0.3;
-  restarted.engine.warm_after_us = 4 * kSecond;
-  restarted.engine.fall_multiple = 3;
-  restarted.engine.fall_us = kSecond;
+  restarted.engine.slow_start_min_capacity_fraction = 0.3;
+  restarted.engine.slow_start_duration_us = 4 * kSecond;
+  restarted.engine.collapse_load_multiple = 3;
+  restarted.engine.collapse_window_us = kSecond;
   Settings& rules = config_.settings;
   rules.slow_start_min_capacity_fraction = 0.3;
   rules.slow_start_duration_us = 4 * kSecond;
@@ -288,7 +288,7 @@
   rules.collapse_window_us = kSecond;
   rules.engine_type_cores = {2};
   nodes::NodeConfig initial = restarted;
-  initial.engine.warm_after_us = 0;
+  initial.engine.slow_start_duration_us = 0;
   add_node(initial);
   add_node(initial);
   start();
@@ -306,13 +306,13 @@
   restarted.name = "n1";
   nodes_[1] = std::make_unique<service::NodeService>(restarted, system_, &recorder_);
   config::GatewayConfig changed = config_;
-  changed.engines[1].started_at = wall();
+  changed.engines[1].started_at = wall_time_us();
   gateway_->reload(changed);
   load("c", 250);
   bool collapsed = true;
-  nodes_[1]->inspect([&](nodes::StandIn& n) { collapsed = n.fallen(); });
+  nodes_[1]->inspect([&](nodes::StandIn& n) { collapsed = n.collapsed(); });
   EXPECT_FALSE(collapsed);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, SecondDoGetOfOneTicketIsServed) {
@@ -363,7 +363,7 @@
   std::future<void> shutdown_done = std::async(std::launch::async, [&] { gateway_->shut_down(5 * kSecond); });
   QueryResult fresh;
   EXPECT_TRUE(wait_for([&] {
-    fresh = send("SELECT 1", "fresh" + std::to_string(wall()), options(kSecond)).get();
+    fresh = send("SELECT 1", "fresh" + std::to_string(wall_time_us()), options(kSecond)).get();
     return fresh.reason == "stopping";
   }));
   EXPECT_EQ(fresh.status.code, Code::kUnavailable);
@@ -416,7 +416,7 @@
   EXPECT_EQ(served + rejected, 5'000);
   EXPECT_EQ(failed, 0);
   EXPECT_TRUE(wait_for([&] { return open_requests() == 0; }));
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Loopback, OpenRequestsPerConnectionAreLimited) {
--- a/tests/schemas/answer_content_test.cpp
+++ b/tests/schemas/answer_content_test.cpp
@@ -13,9 +13,9 @@
 std::string check_answer(const std::string& statement, const std::vector<std::pair<int64_t, int64_t>>& ranges,
                          bool served = true, const std::string& answered_statement = "", int added = 0) {
   const nodes::Content content(answered_statement.empty() ? statement : answered_statement, added);
-  nodes::AnswerCheck check(statement);
+  nodes::ResponseCheck check(statement);
   for (const auto& [first, count] : ranges) check.on_batch(content.schema(), content.batch(first, count));
-  return check.fault(served);
+  return check.error(served);
 }
 
 TEST(AnswerContent, CompleteAnswer_HasNoFault) {
@@ -38,17 +38,17 @@
             "row 0 is another row, or another statement's");
   EXPECT_EQ(check_answer(statement, {{0, 20}}, true, "SELECT id, label FROM gallery /*+ rows=20 */"),
             "its columns are those of another statement");
-  EXPECT_EQ(nodes::AnswerCheck::update_fault("UPDATE t /*+ rows=3 */", 4), "it counts 4 rows, not 3");
+  EXPECT_EQ(nodes::ResponseCheck::update_error("UPDATE t /*+ rows=3 */", 4), "it counts 4 rows, not 3");
 }
 
 TEST(AnswerContent, DefinedColumns_AreAddedToTables) {
-  nodes::Tables tables;
-  tables.define("ALTER TABLE gallery ADD COLUMN seen INT");
-  tables.define("INSERT INTO gallery VALUES (1)");
-  EXPECT_EQ(tables.added("gallery"), 1);
-  tables.define("ALTER TABLE gallery DROP COLUMN seen");
-  tables.define("ALTER TABLE gallery DROP COLUMN seen");
-  EXPECT_EQ(tables.added("gallery"), 0);
+  nodes::TableCatalog tables;
+  tables.apply_definition("ALTER TABLE gallery ADD COLUMN seen INT");
+  tables.apply_definition("INSERT INTO gallery VALUES (1)");
+  EXPECT_EQ(tables.added_column_count("gallery"), 1);
+  tables.apply_definition("ALTER TABLE gallery DROP COLUMN seen");
+  tables.apply_definition("ALTER TABLE gallery DROP COLUMN seen");
+  EXPECT_EQ(tables.added_column_count("gallery"), 0);
 }
 
 }  // namespace
--- a/tests/schemas_loopback_test.cpp
+++ b/tests/schemas_loopback_test.cpp
@@ -101,7 +101,7 @@
   // nothing.
   std::string read(const flight::FlightInfo& flight_info, const std::string& sql,
                    QueryResult* out = nullptr) {
-    const auto check = std::make_shared<nodes::AnswerCheck>(sql);
+    const auto check = std::make_shared<nodes::ResponseCheck>(sql);
     if (flight_info.endpoint_size() != 1) return "no endpoint";
     QueryResult r =
         spawn(client_->fetch(
@@ -110,7 +110,7 @@
             .get();
     if (out != nullptr) *out = r;
     if (r.verdict != RequestStatus::kServed) return "not served: " + r.status.message;
-    std::string fault = check->fault(true);
+    std::string fault = check->error(true);
     const std::optional<arrowipc::Schema> promised = schema_of(flight_info.schema());
     if (fault.empty() && promised && *promised != r.schema && !r.schema_changed) return "another schema";
     return fault;
@@ -169,7 +169,7 @@
   }
   EXPECT_EQ(fault_count, 0u);
   EXPECT_EQ(planning_calls(), 5u);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 // The calls that a tool makes after connecting, in the order of JDBC and ADBC drivers.
@@ -244,7 +244,7 @@
   EXPECT_EQ(running.get().status.code, Code::kCancelled);
   EXPECT_TRUE(close(created.prepared_statement_handle()).ok());
   EXPECT_TRUE(do_action("CloseSession", "").ok());
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Schemas, GetSchema_ReturnsTheSchemaOfTheFlightInfo) {
@@ -286,7 +286,7 @@
     EXPECT_TRUE(schema_of(flight_info.schema()));
   }
   EXPECT_EQ(planning_calls(), 1u);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Schemas, Response_AddsItsColumnsToTheCache) {
@@ -308,7 +308,7 @@
   const std::string sql = "SELECT * FROM gallery";
   const flight::FlightInfo flight_info = info(sql);
   EXPECT_EQ(schema_of(flight_info.schema())->fields.size(), 4u);
-  tables_->define("ALTER TABLE gallery ADD COLUMN seen INT");  // not through this gateway
+  tables_->apply_definition("ALTER TABLE gallery ADD COLUMN seen INT");  // not through this gateway
   QueryResult r;
   EXPECT_EQ(read(flight_info, sql, &r), "");
   EXPECT_EQ(r.schema.fields.size(), 5u) << "the response has the engine's current schema";
@@ -388,14 +388,14 @@
   config_.settings.collapse_window_us = 1500 * kMs;
   config_.settings.collapse_load_multiple = 2;
   // A gateway that starts at the same time as the engine considers the budget exhausted.
-  config_.engines[0].started_at = wall();
+  config_.engines[0].started_at = wall_time_us();
   config_.planning.max_wait_us = 200 * kMs;
   start();
   Reply r;
   EXPECT_EQ(info(std::string("SELECT id FROM gallery"), &r).schema(), "");
   EXPECT_TRUE(r.ok());
   EXPECT_EQ(planning_calls(), 0u);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Schemas, AllEnginesDown_StillIssuesTickets) {
@@ -483,7 +483,7 @@
   EXPECT_GT(with_schema_count, 0);
   EXPECT_LT(with_schema_count, 30);
   EXPECT_GT(served, 0);
-  EXPECT_EQ(audited(), "");
+  EXPECT_EQ(audit_findings(), "");
 }
 
 TEST_F(Schemas, TenThousandStatements_StayWithinTheCacheLimits) {
@@ -551,7 +551,7 @@
   auto reader = open_client();
   ClientOptions client_options = options(60 * kSecond);
   client_options.read_delay_us = kMs;
-  const auto check = std::make_shared<nodes::AnswerCheck>(sql);
+  const auto check = std::make_shared<nodes::ResponseCheck>(sql);
   auto large = spawn(reader->query(sql, client_options, [check](const auto& schema, const auto& batch) {
     check->on_batch(schema, batch);
   }));
@@ -567,7 +567,7 @@
   }
   const QueryResult r = large.get();
   EXPECT_EQ(r.verdict, RequestStatus::kServed) << r.status.message;
-  EXPECT_EQ(check->fault(r.verdict == RequestStatus::kServed), "");
+  EXPECT_EQ(check->error(r.verdict == RequestStatus::kServed), "");
   EXPECT_GT(max_buffered, 0u);
   EXPECT_LE(max_buffered,
             config_.dispatcher.response_buffer_bytes + config_.dispatcher.stream_window_bytes + (1u << 20));
--- a/tests/service/platform_process_test.cpp
+++ b/tests/service/platform_process_test.cpp
@@ -195,7 +195,7 @@
   EXPECT_EQ(open, 200);
   EXPECT_EQ(after, 200);
   int status = -1;
-  EXPECT_TRUE(process_->wait_end(30 * kSecond, &status));
+  EXPECT_TRUE(process_->wait_exit(30 * kSecond, &status));
   EXPECT_EQ(status, 0);
 }
 
@@ -214,7 +214,7 @@
   EXPECT_TRUE(run_until([&] { return open >= 0; }));
   EXPECT_EQ(open, 503);
   int status = -1;
-  EXPECT_TRUE(process_->wait_end(30 * kSecond, &status));
+  EXPECT_TRUE(process_->wait_exit(30 * kSecond, &status));
   EXPECT_EQ(status, 0);
 }
 
@@ -223,7 +223,7 @@
   process_ = std::make_unique<badday::Process>(
       SABLELINK_PROGRAM, std::vector<std::string>{"serve", "--platform"}, (directory_ / "log").string());
   int status = -1;
-  EXPECT_TRUE(process_->wait_end(30 * kSecond, &status));
+  EXPECT_TRUE(process_->wait_exit(30 * kSecond, &status));
   EXPECT_TRUE(WIFEXITED(status) && WEXITSTATUS(status) == 1);
 }
 
