--- a/src/audit/rules.cpp
+++ b/src/audit/rules.cpp
@@ -28,7 +28,7 @@
 struct Rules::Client {
   ClientRecord record;
   bool ended = false;
-  std::vector<Request*> requests;  // with its tag
+  std::vector<Request*> requests;  // the gateways' requests with its tag
 };
 
 struct Rules::Attempt {
--- a/src/audit/rules.h
+++ b/src/audit/rules.h
@@ -66,8 +66,8 @@
   std::vector<NodeInfo> nodes;
   Settings rules;  // only the settings that the rules depend on are read
   TimeUs slack_us = 50'000;
-  // Whether node_start_reported() is called for each gateway that learns of a node's start; else all know at
-  // once.
+  // Whether node_start_reported() is called for each gateway that learns of a node's start. If not, every
+  // gateway is assumed to know of the start at once.
   bool node_starts_are_reported = false;
 };
 
@@ -127,9 +127,9 @@
   void close();
 
   const std::vector<Finding>& findings() const { return findings_; }
-  // For each rule, how often it was checked, and how often it could have been broken. Rule 3, for example, is
-  // at stake when an attempt is sent while a node that may execute it is draining or removed.
-  // docs/simulating.md lists all.
+  // For each rule, how often it was checked, and how often it was at stake: it could have been broken.
+  // Rule 3, for example, is at stake when an attempt is sent while a node that may execute it is draining or
+  // removed. docs/simulating.md lists the cases of all rules.
   const RuleCounts& counts() const { return counts_; }
   uint64_t attempts() const { return attempts_; }
   uint64_t retries() const { return retry_count_; }
@@ -187,10 +187,10 @@
   std::map<std::string, WarmingNode> warming_nodes_;
   // By gateway: the times at which it was killed and restarted; 0: not yet.
   std::map<std::string, std::vector<std::pair<TimeUs, TimeUs>>> downtimes_;
-  // By gateway: the times and the amounts.
+  // By gateway: the time and the amount of each jump of its clock.
   std::map<std::string, std::vector<std::pair<TimeUs, TimeUs>>> clock_jumps_;
   std::map<std::string, std::deque<TimeUs>> request_times_;  // by gateway
-  // By incarnation of a gateway: the times, and the number of retries at each.
+  // By incarnation of a gateway: the times of its retries, and the number of retries at each time.
   std::map<std::string, std::deque<std::pair<TimeUs, int>>> retries_;
   std::vector<Finding> findings_;
   RuleCounts counts_;
--- a/src/config/section.h
+++ b/src/config/section.h
@@ -51,7 +51,7 @@
   /// Returns a table of strings; empty if the key is missing.
   std::map<std::string, std::string> string_map(std::string_view key);
 
-  /// Returns the value that values_by_name gives for the name at the key.
+  /// Reads the name at the key and returns its value in values_by_name; `fallback` if the key is missing.
   template <typename T>
   T one_of(std::string_view key, const std::vector<std::pair<std::string, T>>& values_by_name,
            std::optional<T> fallback) {
--- a/src/flightsql/client.h
+++ b/src/flightsql/client.h
@@ -42,8 +42,8 @@
   bool connected = false;
   bool from_gateway = false;  // false: the status was made by the client, not received from the gateway
   rpc::Status status;
-  // From the gateway's trailers; where they are missing, from the status, of which UNAVAILABLE is a
-  // rejection.
+  // Taken from the gateway's trailers or, if they are missing, from the status: OK means kServed, UNAVAILABLE
+  // means kRejected, any other code means kFailed.
   dispatch::RequestStatus verdict = dispatch::RequestStatus::kFailed;
   std::string reason;
   int attempts = 0;
@@ -79,7 +79,7 @@
   };
   rpc::Awaitable<Ticket> get_ticket(std::string statement, ClientOptions options);
   rpc::Awaitable<QueryResult> fetch(std::string ticket, ClientOptions options, OnBatch on_batch = nullptr);
-  // Calls DoAction. bodies: those of its results.
+  // Calls DoAction. bodies: the bodies of the action's results.
   struct ActionResult {
     rpc::Status status;
     std::vector<std::string> bodies;
@@ -91,11 +91,11 @@
  private:
   std::shared_ptr<rpc::ClientCall> start_call(std::string_view method, const ClientOptions& options);
 
-  // Connects and deducts the time spent from the time-out. Returns nullopt where a call can be made;
-  // otherwise UNAVAILABLE where the connection fails, and DEADLINE_EXCEEDED where no time is left.
+  // Connects and deducts the time spent from the time-out. Returns nullopt if a call can be made,
+  // UNAVAILABLE if the connection fails, and DEADLINE_EXCEEDED if no time is left.
   rpc::Awaitable<std::optional<rpc::Status>> connect_in_time(ClientOptions* options);
 
-  // Deducts the time since begin from the time-out; false where no time is left.
+  // Deducts the time since begin from the time-out; returns false if no time is left.
   bool deduct_elapsed(ClientOptions* options, TimeUs begin) const;
 
   std::unique_ptr<rpc::Channel> channel_;
--- a/src/flightsql/flight_sql_server.cpp
+++ b/src/flightsql/flight_sql_server.cpp
@@ -110,7 +110,7 @@
   }
 
   RequestId id = 0;
-  // The statement to cache the schema of the first message for; its key is empty where the schema isn't
+  // The statement for which the schema of the first message is cached. Its key is empty if the schema isn't
   // cached.
   schemas::CachedStatement cached_statement;
   uint64_t announced_schema_hash = 0;
@@ -274,7 +274,7 @@
   return descriptor;
 }
 
-// Ends a call that needs only a plan where an engine has rejected the statement as invalid.
+// Ends a call that needs only a plan with the error of an engine that rejected the statement as invalid.
 [[noreturn]] void throw_statement_error(const dispatch::EngineError& error) {
   throw CallError(static_cast<Code>(error.code), error.message);
 }
@@ -325,8 +325,8 @@
   co_await finish_with_message(call, std::move(bytes));
 }
 
-// Resolves the schemas one by one, for no longer than the maximum wait for a single plan. The schemas of the
-// tables that remain are omitted.
+// Resolves the schemas one by one. Starts no further one after max_planning_wait_us_, the maximum wait for a
+// single plan; the schemas of the remaining tables are omitted.
 Awaitable<std::vector<std::string>> FlightSqlServer::table_schemas(CallPtr call,
                                                                    const fsql::CommandGetTables& command) {
   std::vector<std::string> out;
--- a/src/platform/connection_admission.cpp
+++ b/src/platform/connection_admission.cpp
@@ -5,7 +5,7 @@
 namespace sablelink::platform {
 namespace {
 
-constexpr size_t kReservedDivisor = 10;       // one tenth of the connections only rejects requests
+constexpr size_t kReservedDivisor = 10;       // on the last tenth of connections, requests are rejected
 constexpr size_t kMaxSkippedConnections = 8;  // checking each one costs a system call
 
 }  // namespace
--- a/src/platform/engine_client/engine_client.cpp
+++ b/src/platform/engine_client/engine_client.cpp
@@ -198,7 +198,7 @@
   const AttemptPtr attempt = call.attempt;
   if (attempt->is_finished()) return;
   if (call.type == CallType::kStart) {
-    // A second start could execute the statement twice. A poll returns the state of the first one.
+    // A second start call could execute the statement twice. A poll returns the state of the first start.
     attempt->on_start_unconfirmed();
     call.type = CallType::kPoll;
   }
--- a/src/platform/http_server_options.h
+++ b/src/platform/http_server_options.h
@@ -13,7 +13,7 @@
   std::vector<std::string> class_names;   // names of workload classes, by class index
   std::vector<std::string> tenant_names;  // names of tenants, by tenant index
   std::vector<TimeUs> max_timeout_us;     // by class index; a request may exceed it by 1 s
-  size_t max_connections = 100;  // limit of open connections; one tenth of them only rejects requests
+  size_t max_connections = 100;           // open connections; on the last tenth, requests are only rejected
   size_t max_statement_bytes = 64 << 10;  // longer statements are rejected with 413
 };
 
--- a/src/rpc/tcp_socket.h
+++ b/src/rpc/tcp_socket.h
@@ -25,7 +25,7 @@
   bool io_is_strand;
   std::function<void(std::function<void()>)> post_to_strand;
 
-  /// Runs fn on the io_context's thread; immediately where that is the strand.
+  /// Runs fn on the io_context's thread: immediately if the strand runs there, else later.
   template <typename Fn>
   void run_on_io(Fn fn) const {
     if (io_is_strand) {
--- a/src/sim/network.cpp
+++ b/src/sim/network.cpp
@@ -63,8 +63,8 @@
     bool received_all = false;         // the other side has sent its last message
     AsyncEvent readable;
     AsyncEvent writable;
-    size_t unacknowledged_bytes = 0;  // sent, and its reading not yet acknowledged
-    size_t read_bytes = 0;            // read, and not yet acknowledged
+    size_t unacknowledged_bytes = 0;  // sent, but not yet acknowledged by the reader
+    size_t read_bytes = 0;            // read, but not yet acknowledged to the sender
     bool ended = false;
   };
   CallInfo info;
@@ -463,7 +463,7 @@
   c->client = client;
   c->on_result = std::move(on_result);
   connections_[c->number] = c;
-  // There is never a response from such an address.
+  // A blackholed or powered-off address never responds.
   if (matches(blackholed_addresses_, address) || powered_off_addresses_.contains(address)) return c;
   const auto it = listeners_.find(address);
   const bool refused = it == listeners_.end() || matches(refused_addresses_, address);
--- a/src/sim/network.h
+++ b/src/sim/network.h
@@ -49,7 +49,7 @@
 
 struct LinkSettings {
   TimeUs base_us = 150;            // one way
-  double jitter_us = 150;          // mean of an exponential distribution distribution
+  double jitter_us = 150;          // mean of an exponential distribution
   size_t window_bytes = 64 << 10;  // maximum of unread bytes of a call or stream, each way
 
   // Returns the time of arrival of a message sent now: later than `*latest`, the latest arrival so far in the
@@ -81,21 +81,21 @@
   size_t running(const std::shared_ptr<Listener>& listener) const;
 
   // ---- Faults. The address "" stands for all addresses.
-  // New connections are refused at once, or are never established.
+  // refuse_connections(): new connections are refused at once; blackhole(): they are never established.
   void refuse_connections(const std::string& address, bool on);
   void blackhole(const std::string& address, bool on);
   // Delays every message in both directions; 0: no additional delay.
   void set_added_delay(const std::string& address, TimeUs delay_us);
-  // Buffers all messages between the two, neither of which is notified. At the end the messages are delivered
+  // Buffers all messages between client and address without notifying either. At the end they are delivered
   // if `repaired` is set; else the connections break.
   void interrupt(const std::string& client, const std::string& address, TimeUs duration, bool repaired);
   // Breaks the open connections at once.
   void reset(const std::string& client, const std::string& address);
   // Breaks the connection of each of the next `count` responses of the address as it is sent.
   void lose_responses(const std::string& address, int count);
-  // To be called after an actor was killed. Ends its calls, and breaks its connections at the other side.
-  // With `power_loss`, the other side isn't notified: connections stay open and discard what is sent, until
-  // an actor listens at the address again.
+  // Must be called after an actor was killed. Ends its calls, breaks its connections and notifies their other
+  // sides. With `power_loss`, the actor's clients aren't notified: their connections stay open and discard
+  // what is sent, until an actor listens at the address again.
   void actor_died(const std::string& actor, bool power_loss);
 
  private:
--- a/src/sim/run.cpp
+++ b/src/sim/run.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr TimeUs kMs = 1000, kSecond = 1'000'000;
-// Between the end of a process and its restart, in rolling restarts and drains.
+// Time between the end of a process and its restart, in rolling restarts and drains.
 constexpr TimeUs kRestartUs = 300 * kMs;
 constexpr TimeUs kMaxSettleTimeUs = 60 * kSecond;       // after the last fault, all work must end within this
 constexpr size_t kMaxMessageBytes = 8192;               // largest message of a simulated node
@@ -256,7 +256,7 @@
     uint64_t incarnation = 0, list_updates = 0;
     std::map<std::string, EndpointState> reported_states;  // the latest reported state of each node
     TimeUs discovery_down_until = 0;                       // end of a discovery outage
-    std::vector<config::EngineConfig> startup_list;  // node list of its next start; empty: the current one
+    std::vector<config::EngineConfig> startup_list;  // node list for the next start; empty: the current one
     TimeUs partial_list_until = 0, duplicate_list_until = 0;
   };
   struct ClientProcess {
@@ -850,7 +850,7 @@
     const RunResult r = run(s, shrink_options);
     return std::any_of(r.findings.begin(), r.findings.end(), [&](const auto& f) { return f.rule == rule; });
   };
-  // Removes ever smaller parts of a list, as long as the same rule is broken.
+  // Removes parts of a list, of half the size in each round; keeps a removal if the rule is still broken.
   const auto remove_parts = [&](auto member) {
     for (size_t part_size = std::max<size_t>((best.*member).size() / 2, 1); part_size > 0; part_size /= 2) {
       for (size_t from = 0; from < (best.*member).size() && runs < max_runs;) {
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -37,8 +37,8 @@
 
 // Properties of a scenario that all its requests and faults depend on.
 struct ScenarioTraits {
-  // More than half of the requests are reports, and all nodes crash and restart one by one: with less work, a
-  // node that is warming up doesn't collapse.
+  // More than half of the requests are reports, and all nodes crash and restart one by one. Less work
+  // would not make a node that is warming up collapse.
   bool heavy_load;
   // The time at which most faults and about a third of the requests start together; 0: they are spread over
   // the run. Set in all scenarios of heavy load and in half of the others.
--- a/src/sql/statement.cpp
+++ b/src/sql/statement.cpp
@@ -166,7 +166,8 @@
   return StatementKind::kOther;
 }
 
-// Words that precede the name of a table, and words that may follow them before the name.
+// Whether the name of a table follows the word, possibly after words for which may_follow_before_name() is
+// true, as in CREATE TABLE IF NOT EXISTS name.
 bool precedes_table_name(const std::string& word) {
   return word == "from" || word == "join" || word == "into" || word == "update" || word == "table" ||
          word == "using" || word == "copy";
--- a/src/workload/admission.h
+++ b/src/workload/admission.h
@@ -15,7 +15,7 @@
 
 class Admission {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   Admission(const Settings& settings, const CostModel& cost_model, const LoadEstimator& load_estimator)
       : settings_(settings), cost_model_(cost_model), load_estimator_(load_estimator) {}
 
--- a/src/workload/concurrency_limiter.h
+++ b/src/workload/concurrency_limiter.h
@@ -14,7 +14,7 @@
 
 class ConcurrencyLimiter {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   ConcurrencyLimiter(const Settings& settings, const CostModel& cost_model,
                      const LoadEstimator& load_estimator);
 
--- a/src/workload/engine_queue.h
+++ b/src/workload/engine_queue.h
@@ -21,7 +21,7 @@
 
 class EngineQueueScheduler {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   EngineQueueScheduler(const CostModel& cost_model, const LoadEstimator& load_estimator,
                        const ConcurrencyLimiter& limiter, const OutlierDetector& outlier_detector,
                        SendGuard& send_guard);
--- a/src/workload/events.h
+++ b/src/workload/events.h
@@ -10,7 +10,8 @@
 namespace sablelink {
 
 enum class EndpointState { kRemoved, kReady, kDraining };
-/// kDelta lists the changed endpoints, kFull and kCached list all, kCached from a copy; kFailed lists none.
+/// Which endpoints an update lists. kDelta: the changed ones. kFull: all. kCached: all, from a copy that
+/// may be out of date. kFailed: none.
 enum class EndpointUpdateKind { kDelta, kFull, kCached, kFailed };
 /// kSuperseded: the attempt was never sent or its statement is invalid. It is not retried and nothing is
 /// learned from it.
--- a/src/workload/health_checker.h
+++ b/src/workload/health_checker.h
@@ -19,7 +19,7 @@
 /// only few queries bear the cost of health checks, and all queries benefit from the reports.
 class HealthChecker {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   HealthChecker(const Settings& settings, const CostModel& cost_model, Random& random)
       : settings_(settings), cost_model_(cost_model), random_(random) {}
 
--- a/src/workload/load_estimator.h
+++ b/src/workload/load_estimator.h
@@ -24,7 +24,7 @@
 /// flight.
 class LoadEstimator {
  public:
-  /// Both must outlive this object.
+  /// Both arguments must outlive this object.
   LoadEstimator(const Settings& settings, const CostModel& cost_model)
       : settings_(settings), cost_model_(cost_model) {}
 
--- a/src/workload/outlier_detector.cpp
+++ b/src/workload/outlier_detector.cpp
@@ -16,7 +16,7 @@
 
 constexpr size_t kMinEnginesForRequestFault = 2;
 constexpr size_t kMaxEnginesForRequestFault = 3;
-constexpr TimeUs kErrorAttributionDelayUs = 40 * kMillisecondUs;  // since the last error
+constexpr TimeUs kErrorAttributionDelayUs = 40 * kMillisecondUs;  // counted from the query's last error
 
 }  // namespace
 
--- a/src/workload/outlier_detector.h
+++ b/src/workload/outlier_detector.h
@@ -25,7 +25,7 @@
 
 class OutlierDetector {
  public:
-  /// Both must outlive this object.
+  /// Both arguments must outlive this object.
   OutlierDetector(const EngineMap& engines, const CostModel& cost_model)
       : engines_(engines), cost_model_(cost_model) {}
 
--- a/src/workload/placement.h
+++ b/src/workload/placement.h
@@ -26,7 +26,7 @@
 
 class Placement {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   Placement(const Settings& settings, const CostModel& cost_model, const LoadEstimator& load_estimator,
             const ConcurrencyLimiter& limiter, Random& random);
 
--- a/src/workload/send_guard.h
+++ b/src/workload/send_guard.h
@@ -12,7 +12,7 @@
 
 class SendGuard {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   SendGuard(SlowStart& slow_start, RetryPolicy& retry_policy, const KeyOrdering& key_ordering)
       : slow_start_(slow_start), retry_policy_(retry_policy), key_ordering_(key_ordering) {}
 
--- a/src/workload/slow_start.h
+++ b/src/workload/slow_start.h
@@ -30,11 +30,11 @@
 /// counts with the mean work of its class; a margin covers the variance of the actual work.
 class SlowStart {
  public:
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   SlowStart(const Settings& settings, const CostModel& cost_model, Random& random);
 
-  /// Called for each new and each restarted engine. A gateway that has itself just started assumes that it
-  /// spent its budget before its restart.
+  /// Called for each new and each restarted engine. A gateway that started within the last collapse window
+  /// may have sent work to the engine before its own restart, so it counts its budget there as spent.
   void on_engine_started(Engine& engine, TimeUs gateway_started_at, TimeUs now);
   /// Called at regular intervals; increases the credit, which is used for engines whose budget is smaller
   /// than one query.
--- a/src/workload/straggler_detector.h
+++ b/src/workload/straggler_detector.h
@@ -18,7 +18,7 @@
     std::vector<Engine*> silent_engines;  // to be ejected
   };
 
-  /// All must outlive this object.
+  /// All arguments must outlive this object.
   StragglerDetector(const Settings& settings, const CostModel& cost_model, RetryPolicy& retry_policy)
       : settings_(settings), cost_model_(cost_model), retry_policy_(retry_policy) {}
 
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -101,7 +101,7 @@
 struct MutationCase {
   Mutation mutation;
   int rule;       // the rule that must be reported as broken
-  int max_seeds;  // number of seeds in which it must be found
+  int max_seeds;  // seeds 1 to max_seeds are tried until the rule is reported
 };
 
 class Mutations : public testing::TestWithParam<MutationCase> {};
