--- a/tests/platform/http_server_race_test.cpp
+++ b/tests/platform/http_server_race_test.cpp
@@ -167,7 +167,7 @@
     return http::serialize_request("POST", "/v1/lookup", "h",
                                    {{"X-Request-Id", id}, {"X-Timeout-Ms", "5000"}}, "SELECT 1");
   }
-  // The number of count_occurrences of the text in the bytes that the engine has received.
+  // The number of occurrences of the text in the bytes that the engine has received.
   size_t engine_request_count(const std::string& text) {
     while (auto connection = engine_listener_->accept())
       engine_connections_.push_back(std::move(*connection));
